--- a/crates/gateway/src/edge/admission.rs
+++ b/crates/gateway/src/edge/admission.rs
@@ -7,7 +7,7 @@
 use hyper::StatusCode;
 use hyper::body::Incoming;
 use hyper::http::request::Parts;
-use jayreel_ledger::{QuotaUse, QuotaWant, TurnBudget};
+use jayreel_ledger::{QuotaPurpose, QuotaRequest, TurnBudget};
 use rand::RngExt;
 
 use crate::clock::now_ms;
@@ -28,24 +28,24 @@
     call: &CallHead,
     name: &str,
     customer: &Customer,
-) -> QuotaWant {
+) -> QuotaRequest {
     let program = call.program.as_ref();
     let is_turn = matches!(route.kind, CallKind::Stream { .. });
     let has_begun = program.is_some_and(|program| {
         call.previous_turn.is_some() || edge.affinity.borrow().contains_key(&program.id)
     });
-    QuotaWant {
+    QuotaRequest {
         customer: name.to_string(),
         program: program.map(|program| program.id.clone()),
         requests: 1,
-        quota_use: match has_begun {
-            true => QuotaUse::GoOn,
-            false => QuotaUse::Begin,
+        quota_purpose: match has_begun {
+            true => QuotaPurpose::ContinueProgram,
+            false => QuotaPurpose::StartProgram,
         },
         budget: program.filter(|_| is_turn).and_then(|program| {
             Some(TurnBudget {
                 budget_tokens: program.budget_tokens?,
-                most_tokens: call.reserved_tokens(),
+                max_turn_tokens: call.reserved_tokens(),
             })
         }),
         limit: customer.limit,
--- a/crates/gateway/src/edge/call.rs
+++ b/crates/gateway/src/edge/call.rs
@@ -372,8 +372,8 @@
     is_newest: bool,
 ) -> Result<Rc<TurnRecord>, Refusal> {
     let no_quorum = Refusal::not_now("turns_unreachable", NO_QUORUM_RETRY_MS);
-    let most_turns = if is_newest { FIRST_TURNS } else { MOST_TURNS };
-    match edge.members.chain(turn, most_turns).await {
+    let max_chain_turns = if is_newest { FIRST_TURNS } else { MOST_TURNS };
+    match edge.members.chain(turn, max_chain_turns).await {
         Ok(FoundChain::Turns(turns)) => {
             let newest = turns.first().cloned().map(Rc::new);
             let mut cache = edge.turns.borrow_mut();
@@ -401,7 +401,7 @@
     let reservation = Reservation {
         program: ProgramKey::new(customer, &program.id),
         turn: admitted.call.request_id.clone(),
-        most_tokens: admitted.call.reserved_tokens(),
+        max_turn_tokens: admitted.call.reserved_tokens(),
     };
     let hold = BudgetHold::new(edge, &reservation);
     match edge.members.reserve(&reservation, budget_tokens).await {
--- a/crates/gateway/src/edge/members.rs
+++ b/crates/gateway/src/edge/members.rs
@@ -7,8 +7,9 @@
 use futures::stream::FuturesUnordered;
 use futures::{FutureExt, StreamExt};
 use jayreel_ledger::{
-    Answer, Ask, Decision, EndpointCursor, Group, Member, Phase, QuotaWant, Reservation,
-    Settlement, SharedConfiguration, SharedEndpoints, Tally, TurnRecord, ZonePresence,
+    BudgetCheck, Decision, EndpointCursor, Group, Member, MemberRequest, MemberResponse,
+    Phase, QuotaRequest, Reservation, Settlement, SharedConfiguration, SharedEndpoints,
+    TurnRecord, ZonePresence,
 };
 use jayreel_membership::rank;
 
@@ -123,7 +124,7 @@
     /// Tells a member the newest group.
     fn tell_group(self: &Rc<Self>, member: &Member) {
         let group = self.group();
-        let ask = Ask::Adopt(Group::clone(&group));
+        let ask = MemberRequest::AdoptGroup(Group::clone(&group));
         drop(self.spawn_ask(group.version, member, ask, QUICK_TIMEOUT_MS));
     }
 
@@ -144,9 +145,9 @@
         &self,
         group_version: u64,
         member: &Member,
-        ask: Ask,
+        ask: MemberRequest,
         timeout_ms: u64,
-    ) -> Result<Answer, LinkError> {
+    ) -> Result<MemberResponse, LinkError> {
         let answer = self.links.ask(member, group_version, ask, timeout_ms).await;
         if answer.is_ok() {
             self.contact.borrow_mut().note_member(now_ms());
@@ -185,19 +186,20 @@
             .members
             .iter()
             .map(|member| {
-                let asked = self.ask(version, member, Ask::Status, QUICK_TIMEOUT_MS);
+                let asked =
+                    self.ask(version, member, MemberRequest::Status, QUICK_TIMEOUT_MS);
                 asked.map(move |answer| (member, answer))
             })
             .collect();
         let mut voting = 0;
         while let Some((member, answer)) = answers.next().await {
             match answer {
-                Ok(Answer::Status { group_version, .. })
+                Ok(MemberResponse::Status { group_version, .. })
                     if group_version < group.version =>
                 {
                     self.tell_group(member);
                 }
-                Ok(Answer::Status {
+                Ok(MemberResponse::Status {
                     is_voting,
                     group_version,
                 }) => {
@@ -218,9 +220,9 @@
     /// Asks all members and collects charges until a quorum has answered.
     async fn charges(
         self: &Rc<Self>,
-        ask: &Ask,
+        ask: &MemberRequest,
         timeout_ms: u64,
-        tally: &mut Tally,
+        tally: &mut BudgetCheck,
     ) -> Result<(), NoQuorum> {
         let group = self.group();
         let answers: FuturesUnordered<_> = group
@@ -232,11 +234,11 @@
         let mut count = 0;
         while let Some(answer) = answers.next().await {
             match answer {
-                Ok(Ok(Answer::Charges(charges))) => {
+                Ok(Ok(MemberResponse::Charges(charges))) => {
                     tally.add(&charges);
                     count += 1;
                 }
-                Ok(Ok(Answer::Closed(newer))) => {
+                Ok(Ok(MemberResponse::GroupSuperseded(newer))) => {
                     self.adopt(newer);
                     return Err(NoQuorum);
                 }
@@ -255,9 +257,9 @@
         self: &Rc<Self>,
         group_version: u64,
         member: &Member,
-        ask: Ask,
+        ask: MemberRequest,
         timeout_ms: u64,
-    ) -> tokio::task::JoinHandle<Result<Answer, LinkError>> {
+    ) -> tokio::task::JoinHandle<Result<MemberResponse, LinkError>> {
         let (members, member) = (Rc::clone(self), member.clone());
         tokio::task::spawn_local(async move {
             members.ask(group_version, &member, ask, timeout_ms).await
@@ -285,20 +287,21 @@
         budget_tokens: u64,
     ) -> Result<Decision, NoQuorum> {
         let began_ms = now_ms();
-        let mut tally = Tally::new(&reservation.turn);
-        let ask = Ask::Reserve(reservation.clone());
+        let mut tally = BudgetCheck::new(&reservation.turn);
+        let ask = MemberRequest::Reserve(reservation.clone());
         let version = self.group().version;
         self.charges(&ask, ASK_TIMEOUT_MS, &mut tally).await?;
-        let most_tokens = reservation.most_tokens;
-        let decision = tally.decide(Phase::Reserved, budget_tokens, most_tokens);
+        let max_turn_tokens = reservation.max_turn_tokens;
+        let decision = tally.decide(Phase::Reserved, budget_tokens, max_turn_tokens);
         if decision != Decision::Reread {
             return in_time(began_ms, decision);
         }
-        let ask = Ask::Charges(reservation.program.clone());
+        let ask = MemberRequest::Charges(reservation.program.clone());
         self.charges(&ask, QUICK_TIMEOUT_MS, &mut tally).await?;
         match self.group().version == version {
             true => {
-                let decision = tally.decide(Phase::Reread, budget_tokens, most_tokens);
+                let decision =
+                    tally.decide(Phase::Reread, budget_tokens, max_turn_tokens);
                 in_time(began_ms, decision)
             }
             false => Err(NoQuorum),
@@ -310,7 +313,7 @@
     pub fn settle(self: &Rc<Self>, settlement: &Settlement) {
         let group = self.group();
         for member in &group.members {
-            let ask = Ask::Settle(settlement.clone());
+            let ask = MemberRequest::Settle(settlement.clone());
             drop(self.spawn_ask(group.version, member, ask, ASK_TIMEOUT_MS));
         }
     }
@@ -337,7 +340,7 @@
         let mut candidates = self.in_order(key).into_iter();
         let copies = group.copies().max(1);
         let ask_next = |member: Member| {
-            let ask = Ask::KeepTurn(record.clone());
+            let ask = MemberRequest::StoreTurn(record.clone());
             self.spawn_ask(group.version, &member, ask, COPY_TIMEOUT_MS)
         };
         let mut pending = FuturesUnordered::new();
@@ -349,8 +352,8 @@
         while kept < copies {
             tokio::select! {
                 answer = pending.next() => match answer {
-                    Some(Ok(Ok(Answer::Done))) => kept += 1,
-                    Some(Ok(Ok(Answer::Closed(newer)))) => {
+                    Some(Ok(Ok(MemberResponse::Done))) => kept += 1,
+                    Some(Ok(Ok(MemberResponse::GroupSuperseded(newer)))) => {
                         self.adopt(newer);
                         return Err(NoQuorum);
                     }
@@ -366,17 +369,17 @@
         Ok(())
     }
 
-    /// Finds a turn and up to `most_turns` - 1 of those before it. Tried again if the group has
+    /// Finds a turn and up to `max_chain_turns` - 1 of those before it. Tried again if the group has
     /// changed meanwhile.
     pub async fn chain(
         self: &Rc<Self>,
         turn: &str,
-        most_turns: u32,
+        max_chain_turns: u32,
     ) -> Result<FoundChain, NoQuorum> {
         let version = self.group().version;
-        match self.chain_once(turn, most_turns).await {
+        match self.chain_once(turn, max_chain_turns).await {
             Err(NoQuorum) if self.group().version > version => {
-                self.chain_once(turn, most_turns).await
+                self.chain_once(turn, max_chain_turns).await
             }
             result => result,
         }
@@ -385,14 +388,14 @@
     async fn chain_once(
         self: &Rc<Self>,
         turn: &str,
-        most_turns: u32,
+        max_chain_turns: u32,
     ) -> Result<FoundChain, NoQuorum> {
         let group = self.group();
         let mut candidates = self.in_order(turn).into_iter();
         let ask_next = |member: Member| {
-            let ask = Ask::Chain {
+            let ask = MemberRequest::Chain {
                 turn: turn.to_string(),
-                most_turns,
+                max_chain_turns,
             };
             self.spawn_ask(group.version, &member, ask, ASK_TIMEOUT_MS)
         };
@@ -406,15 +409,15 @@
         loop {
             tokio::select! {
                 answer = pending.next() => match answer {
-                    Some(Ok(Ok(Answer::Chain(turns)))) if !turns.is_empty() => {
+                    Some(Ok(Ok(MemberResponse::Chain(turns)))) if !turns.is_empty() => {
                         return Ok(FoundChain::Turns(turns));
                     }
-                    Some(Ok(Ok(Answer::Closed(newer)))) => {
+                    Some(Ok(Ok(MemberResponse::GroupSuperseded(newer)))) => {
                         self.adopt(newer);
                         return Err(NoQuorum);
                     }
                     Some(answer) => {
-                        without += usize::from(matches!(answer, Ok(Ok(Answer::Chain(_)))));
+                        without += usize::from(matches!(answer, Ok(Ok(MemberResponse::Chain(_)))));
                         if without >= readable && !group.members.is_empty() {
                             return Ok(FoundChain::Missing);
                         }
@@ -436,16 +439,16 @@
         self: &Rc<Self>,
         member: &Member,
         configuration_version: u64,
-        wants: Vec<QuotaWant>,
+        wants: Vec<QuotaRequest>,
     ) -> Option<Vec<u32>> {
-        let ask = Ask::TakeQuota {
+        let ask = MemberRequest::TakeQuota {
             configuration_version,
             wants,
         };
         let group_version = self.group().version;
         match self.ask(group_version, member, ask, QUICK_TIMEOUT_MS).await {
-            Ok(Answer::Quota(granted)) => Some(granted),
-            Ok(Answer::Closed(newer)) => {
+            Ok(MemberResponse::Quota(granted)) => Some(granted),
+            Ok(MemberResponse::GroupSuperseded(newer)) => {
                 self.adopt(newer);
                 None
             }
@@ -477,9 +480,9 @@
         known_revision: u64,
     ) -> Option<SharedConfiguration> {
         let version = self.group().version;
-        let ask = Ask::Configuration { known_revision };
+        let ask = MemberRequest::Configuration { known_revision };
         match self.ask(version, member, ask, QUICK_TIMEOUT_MS).await {
-            Ok(Answer::Configuration(found)) => Some(found),
+            Ok(MemberResponse::Configuration(found)) => Some(found),
             _ => None,
         }
     }
@@ -490,12 +493,12 @@
         let member = self.in_order("presence").into_iter().next();
         let member =
             member.filter(|one| one.availability_zone == self.availability_zone)?;
-        let ask = Ask::Presence {
+        let ask = MemberRequest::Presence {
             instance: instance.to_string(),
         };
         let version = self.group().version;
         match self.ask(version, &member, ask, QUICK_TIMEOUT_MS).await {
-            Ok(Answer::Presence(presence)) => Some(presence),
+            Ok(MemberResponse::Presence(presence)) => Some(presence),
             _ => None,
         }
     }
@@ -505,9 +508,13 @@
         let nearest = self.in_order("endpoints").into_iter().take(SHARING_MEMBERS);
         for member in nearest {
             let version = self.group().version;
-            let asked =
-                self.ask(version, &member, Ask::Endpoints { known }, QUICK_TIMEOUT_MS);
-            if let Ok(Answer::Endpoints(endpoints)) = asked.await {
+            let asked = self.ask(
+                version,
+                &member,
+                MemberRequest::Endpoints { known },
+                QUICK_TIMEOUT_MS,
+            );
+            if let Ok(MemberResponse::Endpoints(endpoints)) = asked.await {
                 return Some(endpoints);
             }
         }
--- a/crates/gateway/src/edge/quota.rs
+++ b/crates/gateway/src/edge/quota.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use jayreel_ledger::{QuotaUse, QuotaWant, RateLimit};
+use jayreel_ledger::{QuotaPurpose, QuotaRequest, RateLimit};
 
 use crate::clock::now_ms;
 use crate::edge::Edge;
@@ -33,7 +33,7 @@
     /// Takes the token of one request. Returns the one that it took from the stock, if any.
     pub(crate) async fn take_quota(
         self: &Rc<Self>,
-        want: QuotaWant,
+        want: QuotaRequest,
         version: u64,
     ) -> Result<Option<StockToken>, Refusal> {
         let (customer, limit) = (&want.customer, want.limit);
@@ -61,7 +61,7 @@
 
     async fn take_from_members(
         self: &Rc<Self>,
-        want: QuotaWant,
+        want: QuotaRequest,
         version: u64,
     ) -> Result<(), Refusal> {
         let mut has_answer = false;
@@ -89,15 +89,15 @@
     pub(crate) async fn refill_quota(self: &Rc<Self>) {
         let configuration = self.configuration();
         let wanted = self.quota.borrow_mut().wanted(now_ms(), AHEAD_MS);
-        let mut wants: Vec<QuotaWant> = wanted
+        let mut wants: Vec<QuotaRequest> = wanted
             .into_iter()
             .filter_map(|(customer, requests)| {
                 let limit = configuration.customers.get(&customer)?.limit;
-                Some(QuotaWant {
+                Some(QuotaRequest {
                     customer,
                     program: None,
                     requests,
-                    quota_use: QuotaUse::Advance,
+                    quota_purpose: QuotaPurpose::Prefetch,
                     budget: None,
                     limit,
                 })
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -15,7 +15,7 @@
 use bytes::{Bytes, BytesMut};
 use futures::future::LocalBoxFuture;
 use futures::{FutureExt, SinkExt, StreamExt};
-use jayreel_ledger::{Answer, Ask, Member, Reply, Request};
+use jayreel_ledger::{Member, MemberRequest, MemberResponse, Reply, Request};
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::{Mutex, mpsc, oneshot};
@@ -56,7 +56,7 @@
     }
 }
 
-type Waiting = Rc<RefCell<HashMap<u64, oneshot::Sender<Answer>>>>;
+type Waiting = Rc<RefCell<HashMap<u64, oneshot::Sender<MemberResponse>>>>;
 
 struct Connection {
     outgoing: mpsc::UnboundedSender<Request>,
@@ -102,9 +102,9 @@
     pub(crate) async fn ask(
         &self,
         group_version: u64,
-        ask: Ask,
+        ask: MemberRequest,
         timeout_ms: u64,
-    ) -> Result<Answer, LinkError> {
+    ) -> Result<MemberResponse, LinkError> {
         let connection = self.connection().await?;
         let (sender, receiver) = oneshot::channel();
         let id = connection.next_id.get();
@@ -114,7 +114,7 @@
         let request = Request {
             id,
             group_version,
-            ask,
+            body: ask,
         };
         if connection.outgoing.send(request).is_err() {
             self.abandon(&connection).await;
@@ -173,7 +173,7 @@
 }
 
 /// An answer that is on its way.
-pub type AnswerFuture = LocalBoxFuture<'static, Result<Answer, LinkError>>;
+pub type AnswerFuture = LocalBoxFuture<'static, Result<MemberResponse, LinkError>>;
 
 /// Ways to instances with disks.
 pub trait MemberLinks {
@@ -185,7 +185,7 @@
         &self,
         member: &Member,
         group_version: u64,
-        ask: Ask,
+        ask: MemberRequest,
         timeout_ms: u64,
     ) -> AnswerFuture;
 }
@@ -195,7 +195,7 @@
         &self,
         member: &Member,
         group_version: u64,
-        ask: Ask,
+        ask: MemberRequest,
         timeout_ms: u64,
     ) -> AnswerFuture {
         let link = self.to(member);
@@ -252,7 +252,7 @@
             Ok(reply) => {
                 let sender = waiting.borrow_mut().remove(&reply.id);
                 // An asker that gave up no longer waits; its answer is dropped.
-                let _ = sender.map(|sender| sender.send(reply.answer));
+                let _ = sender.map(|sender| sender.send(reply.body));
             }
             Err(error) => {
                 log::warn!("event=reply_unreadable reason={error:?}");
--- a/crates/gateway/src/storage/answers.rs
+++ b/crates/gateway/src/storage/answers.rs
@@ -1,8 +1,9 @@
 //! What an instance with a disk answers to others.
 
 use jayreel_ledger::{
-    Answer, Ask, EndpointCursor, Fact, ProgramKey, QuotaUse, QuotaWant, Reply, Request,
-    Reservation, SharedConfiguration, SharedEndpoints, Standing,
+    EndpointCursor, LedgerRecord, MemberRequest, MemberResponse, MembershipState,
+    ProgramKey, QuotaPurpose, QuotaRequest, Reply, Request, Reservation,
+    SharedConfiguration, SharedEndpoints,
 };
 
 use super::node::{ConnectionKey, Effect, Node};
@@ -12,7 +13,7 @@
 
 impl Node {
     /// All facts in parts, for another instance.
-    pub fn part(&self, cursor: u64) -> (Vec<Fact>, Option<u64>) {
+    pub fn part(&self, cursor: u64) -> (Vec<LedgerRecord>, Option<u64>) {
         self.book.part(cursor, PART_BYTES)
     }
 
@@ -25,41 +26,41 @@
         let Request {
             id,
             group_version,
-            ask,
+            body,
         } = request;
-        let reply = |answer| Reply { id, answer };
-        let at_once = |answer| Effect::Reply {
+        let reply = |body| Reply { id, body };
+        let at_once = |body| Effect::Reply {
             connection: to,
-            reply: reply(answer),
+            reply: reply(body),
         };
-        if let Some(answer) = self.refusal(group_version, &ask) {
+        if let Some(answer) = self.refusal(group_version, &body) {
             return vec![at_once(answer)];
         }
-        match ask {
-            Ask::Reserve(reservation) => {
+        match body {
+            MemberRequest::Reserve(reservation) => {
                 let (is_new, answer) = self.reserve(now_ms, &reservation);
-                let fact = Fact::Reserved(reservation);
+                let fact = LedgerRecord::Reserved(reservation);
                 self.append_and_reply(is_new, &[fact], to, reply(answer))
             }
-            Ask::Settle(settlement) => {
-                let fact = Fact::Settled(settlement);
-                self.merge_and_reply(now_ms, &[fact], to, reply(Answer::Done))
+            MemberRequest::Settle(settlement) => {
+                let fact = LedgerRecord::Settled(settlement);
+                self.merge_and_reply(now_ms, &[fact], to, reply(MemberResponse::Done))
             }
-            Ask::KeepTurn(record) => {
-                let fact = Fact::Turn(record);
-                self.merge_and_reply(now_ms, &[fact], to, reply(Answer::Done))
+            MemberRequest::StoreTurn(record) => {
+                let fact = LedgerRecord::Turn(record);
+                self.merge_and_reply(now_ms, &[fact], to, reply(MemberResponse::Done))
             }
-            Ask::KeepFacts(facts) => {
-                let facts: Vec<Fact> =
-                    facts.into_iter().filter(Fact::is_shared).collect();
-                self.merge_and_reply(now_ms, &facts, to, reply(Answer::Done))
+            MemberRequest::StoreRecords(facts) => {
+                let facts: Vec<LedgerRecord> =
+                    facts.into_iter().filter(LedgerRecord::is_shared).collect();
+                self.merge_and_reply(now_ms, &facts, to, reply(MemberResponse::Done))
             }
-            Ask::Adopt(group) => {
+            MemberRequest::AdoptGroup(group) => {
                 let mut effects = self.learn_group(now_ms, group);
-                effects.push(at_once(Answer::Done));
+                effects.push(at_once(MemberResponse::Done));
                 effects
             }
-            Ask::TakeQuota {
+            MemberRequest::TakeQuota {
                 configuration_version,
                 wants,
             } if self.is_voting() => {
@@ -70,78 +71,89 @@
                 }
                 effects
             }
-            ask => vec![at_once(self.look_up(now_ms, ask))],
+            body => vec![at_once(self.look_up(now_ms, body))],
         }
     }
 
     /// Merges a reservation. Returns whether it is new, and the program's charges.
-    fn reserve(&mut self, now_ms: u64, reservation: &Reservation) -> (bool, Answer) {
+    fn reserve(
+        &mut self,
+        now_ms: u64,
+        reservation: &Reservation,
+    ) -> (bool, MemberResponse) {
         let is_new = self
             .book
-            .merge(now_ms, &Fact::Reserved(reservation.clone()));
+            .merge(now_ms, &LedgerRecord::Reserved(reservation.clone()));
         let answer = match self.is_voting() {
-            true => Answer::Charges(self.book.charges(&reservation.program)),
-            false => Answer::NotVoting,
+            true => MemberResponse::Charges(self.book.charges(&reservation.program)),
+            false => MemberResponse::NotVoting,
         };
         (is_new, answer)
     }
 
     /// Why a question that needs the group cannot be answered.
-    fn refusal(&self, group_version: u64, ask: &Ask) -> Option<Answer> {
+    fn refusal(&self, group_version: u64, ask: &MemberRequest) -> Option<MemberResponse> {
         let needs_group = matches!(
             ask,
-            Ask::Reserve(_)
-                | Ask::Charges(_)
-                | Ask::KeepTurn(_)
-                | Ask::Chain { .. }
-                | Ask::TakeQuota { .. }
-                | Ask::CopyPart { .. }
+            MemberRequest::Reserve(_)
+                | MemberRequest::Charges(_)
+                | MemberRequest::StoreTurn(_)
+                | MemberRequest::Chain { .. }
+                | MemberRequest::TakeQuota { .. }
+                | MemberRequest::CopyPart { .. }
         );
         match needs_group {
             false => None,
             true if group_version < self.group.version => {
-                Some(Answer::Closed(self.group.clone()))
+                Some(MemberResponse::GroupSuperseded(self.group.clone()))
+            }
+            true if group_version > self.group.version => {
+                Some(MemberResponse::Unavailable)
+            }
+            true if matches!(ask, MemberRequest::CopyPart { .. }) => None,
+            true if self.standing == MembershipState::Spare => {
+                Some(MemberResponse::NotVoting)
             }
-            true if group_version > self.group.version => Some(Answer::Unavailable),
-            true if matches!(ask, Ask::CopyPart { .. }) => None,
-            true if self.standing == Standing::Spare => Some(Answer::NotVoting),
             true => None,
         }
     }
 
     /// Answers a question that changes nothing on disk.
-    fn look_up(&mut self, now_ms: u64, ask: Ask) -> Answer {
+    fn look_up(&mut self, now_ms: u64, ask: MemberRequest) -> MemberResponse {
         match ask {
-            Ask::Charges(program) if self.is_voting() => {
-                Answer::Charges(self.book.charges(&program))
+            MemberRequest::Charges(program) if self.is_voting() => {
+                MemberResponse::Charges(self.book.charges(&program))
             }
-            Ask::Chain { turn, most_turns } => {
-                let chain = self.book.chain(now_ms, &turn, most_turns);
+            MemberRequest::Chain {
+                turn,
+                max_chain_turns,
+            } => {
+                let chain = self.book.chain(now_ms, &turn, max_chain_turns);
                 match chain.turns.is_empty() && !self.is_voting() {
-                    true => Answer::NotVoting,
-                    false => Answer::Chain(chain.turns),
+                    true => MemberResponse::NotVoting,
+                    false => MemberResponse::Chain(chain.turns),
                 }
             }
-            Ask::CopyPart { cursor } => {
+            MemberRequest::CopyPart { cursor } => {
                 let (facts, next) = self.part(cursor);
-                Answer::Part {
+                MemberResponse::Part {
                     facts,
                     next,
                     is_complete: self.is_voting() || self.was_complete(),
                 }
             }
-            Ask::Status => Answer::Status {
+            MemberRequest::Status => MemberResponse::Status {
                 is_voting: self.is_voting(),
                 group_version: self.group.version,
             },
-            Ask::Configuration { known_revision } => {
+            MemberRequest::Configuration { known_revision } => {
                 self.share_configuration(now_ms, known_revision)
             }
-            Ask::Presence { instance } => {
-                Answer::Presence(self.presence.hear(now_ms, &instance))
+            MemberRequest::Presence { instance } => {
+                MemberResponse::Presence(self.presence.hear(now_ms, &instance))
             }
-            Ask::Endpoints { known } => self.share_endpoints(now_ms, known),
-            _ => Answer::NotVoting,
+            MemberRequest::Endpoints { known } => self.share_endpoints(now_ms, known),
+            _ => MemberResponse::NotVoting,
         }
     }
 
@@ -155,8 +167,8 @@
         &mut self,
         now_ms: u64,
         version: u64,
-        wants: &[QuotaWant],
-    ) -> (Answer, Vec<Fact>) {
+        wants: &[QuotaRequest],
+    ) -> (MemberResponse, Vec<LedgerRecord>) {
         let parts = match self.larger_parts {
             Some((until_ms, parts)) if now_ms < until_ms => parts,
             _ => self.group.members.len(),
@@ -170,13 +182,13 @@
                 granted.push(want.requests);
                 continue;
             }
-            let quota_use = self.quota_use(want);
+            let quota_purpose = self.quota_purpose(want);
             let count =
                 self.rates
-                    .take(now_ms, customer, want.requests, parts, quota_use);
+                    .take(now_ms, customer, want.requests, parts, quota_purpose);
             granted.push(count);
             if count > 0 {
-                let fact = Fact::Granted {
+                let fact = LedgerRecord::Granted {
                     at_ms: now_ms,
                     customer: customer.clone(),
                     count,
@@ -185,37 +197,37 @@
                 facts.push(fact);
             }
         }
-        (Answer::Quota(granted), facts)
+        (MemberResponse::Quota(granted), facts)
     }
 
     /// Whether the turn will not run, because its program has used its budget. It needs no
     /// token: programs that go on asking would use up the rate of their customer.
-    fn is_budget_spent(&self, want: &QuotaWant) -> bool {
+    fn is_budget_spent(&self, want: &QuotaRequest) -> bool {
         let Some((program, budget)) = want.program.as_deref().zip(want.budget) else {
             return false;
         };
         let program = ProgramKey::new(&want.customer, program);
-        let total = self.book.used_tokens(&program) + u64::from(budget.most_tokens);
+        let total = self.book.used_tokens(&program) + u64::from(budget.max_turn_tokens);
         total > budget.budget_tokens
     }
 
     /// The turns of a program come through many instances, of which most have not seen it
     /// before. Its reservations are known to the group.
-    fn quota_use(&self, want: &QuotaWant) -> QuotaUse {
+    fn quota_purpose(&self, want: &QuotaRequest) -> QuotaPurpose {
         let program = want.program.as_deref();
         let program = program.map(|program| ProgramKey::new(&want.customer, program));
         match program.is_some_and(|program| self.book.has_begun(&program)) {
-            true => QuotaUse::GoOn,
-            false => want.quota_use,
+            true => QuotaPurpose::ContinueProgram,
+            false => want.quota_purpose,
         }
     }
 
-    fn share_endpoints(&mut self, now_ms: u64, known: EndpointCursor) -> Answer {
+    fn share_endpoints(&mut self, now_ms: u64, known: EndpointCursor) -> MemberResponse {
         let Some(news) = self.endpoints.news_since(now_ms, known) else {
-            return Answer::Unavailable;
+            return MemberResponse::Unavailable;
         };
         match postcard::to_stdvec(&news.changes) {
-            Ok(content) => Answer::Endpoints(SharedEndpoints {
+            Ok(content) => MemberResponse::Endpoints(SharedEndpoints {
                 cursor: news.cursor,
                 revision: news.revision,
                 is_complete: news.is_complete,
@@ -223,31 +235,31 @@
             }),
             Err(error) => {
                 log::error!("event=endpoints_unwritable reason={error:?}");
-                Answer::Unavailable
+                MemberResponse::Unavailable
             }
         }
     }
 
-    fn share_configuration(&self, now_ms: u64, known_revision: u64) -> Answer {
+    fn share_configuration(&self, now_ms: u64, known_revision: u64) -> MemberResponse {
         match self.freshness.age_ms(now_ms) {
-            Some(age_ms) => Answer::Configuration(SharedConfiguration {
+            Some(age_ms) => MemberResponse::Configuration(SharedConfiguration {
                 revision: self.configuration_revision,
                 age_ms,
                 content: (self.configuration_revision > known_revision)
                     .then(|| self.configuration.clone()),
             }),
-            None => Answer::Unavailable,
+            None => MemberResponse::Unavailable,
         }
     }
 
     fn merge_and_reply(
         &mut self,
         now_ms: u64,
-        facts: &[Fact],
+        facts: &[LedgerRecord],
         to: ConnectionKey,
         reply: Reply,
     ) -> Vec<Effect> {
-        let news: Vec<Fact> = facts
+        let news: Vec<LedgerRecord> = facts
             .iter()
             .filter(|fact| self.book.merge(now_ms, fact))
             .cloned()
--- a/crates/gateway/src/storage/care.rs
+++ b/crates/gateway/src/storage/care.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use jayreel_ledger::{Answer, Ask, Group, Member};
+use jayreel_ledger::{Group, Member, MemberRequest, MemberResponse};
 
 use crate::clock::{now_ms, pause};
 use crate::config::Configuration;
@@ -123,10 +123,10 @@
     let Some(first) = first.filter(|first| first.name != storage.settings.name) else {
         return false;
     };
-    let ask = Ask::Configuration { known_revision };
+    let ask = MemberRequest::Configuration { known_revision };
     let link = storage.links.to(first);
     let answer = link.ask(group.version, ask, CONFIGURATION_TIMEOUT_MS).await;
-    let Ok(Answer::Configuration(shared)) = answer else {
+    let Ok(MemberResponse::Configuration(shared)) = answer else {
         return false;
     };
     if shared.age_ms > MOST_SHARED_AGE_MS {
@@ -192,19 +192,21 @@
     let link = storage.links.to(source);
     let group = storage.node.borrow().group().clone();
     let version = group.version;
-    let adopted = link.ask(version, Ask::Adopt(group), ASK_TIMEOUT_MS).await;
+    let adopted = link
+        .ask(version, MemberRequest::AdoptGroup(group), ASK_TIMEOUT_MS)
+        .await;
     if adopted.is_err() {
         return;
     }
     let mut cursor = Some(0);
     while let Some(next) = cursor {
-        let ask = Ask::CopyPart { cursor: next };
+        let ask = MemberRequest::CopyPart { cursor: next };
         let answer = link.ask(version, ask, PART_TIMEOUT_MS).await;
-        if let Ok(Answer::Closed(newer)) = answer {
+        if let Ok(MemberResponse::GroupSuperseded(newer)) = answer {
             storage.apply(Event::GroupLearned(newer));
             return;
         }
-        let Ok(Answer::Part {
+        let Ok(MemberResponse::Part {
             facts,
             next,
             is_complete: true,
@@ -364,14 +366,16 @@
     let others = group.members.iter().filter(|member| member.name != *me);
     let answers = futures::future::join_all(others.map(|member| async move {
         let link = storage.links.to(member);
-        let answer = link.ask(group.version, Ask::Status, ASK_TIMEOUT_MS).await;
+        let answer = link
+            .ask(group.version, MemberRequest::Status, ASK_TIMEOUT_MS)
+            .await;
         (member.name.clone(), answer)
     }))
     .await;
     let mut voting = usize::from(storage.node.borrow().is_voting());
     for (name, answer) in answers {
         watcher.borrow_mut().note(now_ms(), &name, answer.is_ok());
-        if let Ok(Answer::Status {
+        if let Ok(MemberResponse::Status {
             is_voting: true, ..
         }) = answer
         {
@@ -407,8 +411,12 @@
     futures::future::join_all(told.filter(|member| member.name != *me).map(|member| {
         let (link, next) = (storage.links.to(member), next.clone());
         async move {
-            link.ask(next.version, Ask::Adopt(next), ASK_TIMEOUT_MS)
-                .await
+            link.ask(
+                next.version,
+                MemberRequest::AdoptGroup(next),
+                ASK_TIMEOUT_MS,
+            )
+            .await
         }
     }))
     .await;
@@ -457,14 +465,14 @@
         let sends = group.members.iter().map(|member| {
             let (link, facts) = (storage.links.to(member), facts.clone());
             async move {
-                let ask = Ask::KeepFacts(facts);
+                let ask = MemberRequest::StoreRecords(facts);
                 link.ask(group.version, ask, PART_TIMEOUT_MS).await
             }
         });
         let answers = futures::future::join_all(sends).await;
         if !answers
             .iter()
-            .all(|answer| matches!(answer, Ok(Answer::Done)))
+            .all(|answer| matches!(answer, Ok(MemberResponse::Done)))
         {
             return false;
         }
--- a/crates/gateway/src/storage/disk.rs
+++ b/crates/gateway/src/storage/disk.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc as blocking;
 use std::thread;
 
-use jayreel_ledger::{Fact, decode_frames};
+use jayreel_ledger::{LedgerRecord, decode_frames};
 use tokio::sync::mpsc;
 
 /// Names of log files: this, a number, and the ending.
@@ -59,7 +59,7 @@
     /// If the folder cannot be read or written.
     pub fn open(
         folder: &Path,
-    ) -> Result<(Disk, Vec<Fact>, mpsc::UnboundedReceiver<u64>), DiskError> {
+    ) -> Result<(Disk, Vec<LedgerRecord>, mpsc::UnboundedReceiver<u64>), DiskError> {
         let at = |path: &Path| {
             let path = path.to_path_buf();
             move |source| DiskError { path, source }
--- a/crates/gateway/src/storage/node.rs
+++ b/crates/gateway/src/storage/node.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use jayreel_ledger::{
-    Book, Fact, Group, Member, RateLimit, RateShare, RateTolerance, Reply, Request,
-    Standing, encode_frame, turn_digest,
+    Group, LedgerRecord, LedgerState, Member, MembershipState, RateLimit, RateShare,
+    RateTolerance, Reply, Request, encode_frame, turn_digest,
 };
 use slotmap::new_key_type;
 
@@ -51,7 +51,7 @@
         /// Name of the member.
         source: String,
         /// Its facts.
-        facts: Vec<Fact>,
+        facts: Vec<LedgerRecord>,
         /// It was the last part, and the member itself held all facts of its group.
         is_last: bool,
     },
@@ -97,9 +97,9 @@
 pub struct Node {
     name: String,
     is_first_start: bool,
-    pub(super) book: Book,
+    pub(super) book: LedgerState,
     pub(super) group: Group,
-    pub(super) standing: Standing,
+    pub(super) standing: MembershipState,
     pub(super) rates: RateShare,
     started_ms: u64,
     /// Until this time rates are divided by more than the present number of members: one
@@ -127,9 +127,9 @@
         is_first_start: bool,
         now_ms: u64,
         tolerance: RateTolerance,
-        facts: &[Fact],
+        facts: &[LedgerRecord],
     ) -> Node {
-        let mut book = Book::default();
+        let mut book = LedgerState::default();
         for fact in facts {
             book.merge(now_ms, fact);
         }
@@ -146,7 +146,7 @@
             is_first_start: is_first_start && facts.is_empty(),
             book,
             group: Group::default(),
-            standing: Standing::Spare,
+            standing: MembershipState::Spare,
             rates,
             started_ms: now_ms,
             larger_parts: None,
@@ -179,7 +179,7 @@
 
     /// Whether the instance votes.
     pub fn is_voting(&self) -> bool {
-        self.standing == Standing::Voting
+        self.standing == MembershipState::Voting
     }
 
     /// Whether the instance has voted in any version, as its disk tells.
@@ -190,13 +190,13 @@
     /// Members whose facts must be copied before the instance votes.
     pub fn copy_sources(&self) -> Vec<Member> {
         match &self.standing {
-            Standing::CatchingUp(progress) => progress.missing(),
-            Standing::Spare | Standing::Voting => Vec::new(),
+            MembershipState::CatchingUp(progress) => progress.missing(),
+            MembershipState::Spare | MembershipState::Voting => Vec::new(),
         }
     }
 
     /// All facts, for a compacted log.
-    pub fn facts(&self) -> Vec<Fact> {
+    pub fn facts(&self) -> Vec<LedgerRecord> {
         self.book.facts()
     }
 
@@ -238,7 +238,7 @@
     pub(super) fn append_and_reply(
         &mut self,
         is_new: bool,
-        facts: &[Fact],
+        facts: &[LedgerRecord],
         to: ConnectionKey,
         reply: Reply,
     ) -> Vec<Effect> {
@@ -251,7 +251,7 @@
         effects
     }
 
-    pub(super) fn append(&mut self, facts: &[Fact]) -> Option<Effect> {
+    pub(super) fn append(&mut self, facts: &[LedgerRecord]) -> Option<Effect> {
         let mut frames = Vec::new();
         for fact in facts {
             if let Err(error) = encode_frame(fact, &mut frames) {
@@ -262,7 +262,7 @@
         // A loss of power costs more than the grants of the last few milliseconds.
         let is_synced = !facts
             .iter()
-            .all(|fact| matches!(fact, Fact::Granted { .. }));
+            .all(|fact| matches!(fact, LedgerRecord::Granted { .. }));
         self.appended += 1;
         if is_synced {
             self.must_sync = self.appended;
@@ -310,11 +310,11 @@
     }
 
     /// A founder lacks nothing: there were no facts before it.
-    fn standing_in(&self, group: &Group) -> Standing {
+    fn standing_in(&self, group: &Group) -> MembershipState {
         let is_founder = group.previous.is_empty() && self.is_first_start;
         let complete = self.book.complete_version();
-        match Standing::on_learning(group, &self.name, complete) {
-            Standing::CatchingUp(_) if is_founder => Standing::Voting,
+        match MembershipState::for_new_group(group, &self.name, complete) {
+            MembershipState::CatchingUp(_) if is_founder => MembershipState::Voting,
             standing => standing,
         }
     }
@@ -323,11 +323,11 @@
         &mut self,
         now_ms: u64,
         source: &str,
-        facts: &[Fact],
+        facts: &[LedgerRecord],
         is_last: bool,
     ) -> Vec<Effect> {
         let copied = facts.iter().filter(|fact| fact.is_shared());
-        let news: Vec<Fact> = copied
+        let news: Vec<LedgerRecord> = copied
             .filter(|fact| self.book.merge(now_ms, fact))
             .cloned()
             .collect();
@@ -335,7 +335,9 @@
             true => Vec::new(),
             false => self.append(&news).into_iter().collect(),
         };
-        if let (Standing::CatchingUp(progress), true) = (&mut self.standing, is_last) {
+        if let (MembershipState::CatchingUp(progress), true) =
+            (&mut self.standing, is_last)
+        {
             progress.record(source);
         }
         effects.extend(self.complete_if_done(now_ms));
@@ -347,16 +349,16 @@
     /// A member that took the place of another grants nothing until what that one may have
     /// granted has left the window.
     fn complete_if_done(&mut self, now_ms: u64) -> Vec<Effect> {
-        if matches!(&self.standing, Standing::CatchingUp(progress) if progress.is_complete())
+        if matches!(&self.standing, MembershipState::CatchingUp(progress) if progress.is_complete())
         {
-            self.standing = Standing::Voting;
+            self.standing = MembershipState::Voting;
             let mut previous = self.group.previous.iter();
             let was_member = previous.any(|member| member.name == self.name);
             let since_ms = if was_member { self.started_ms } else { now_ms };
             self.rates.block_since(since_ms);
         }
         let group_version = self.group.version;
-        let fact = Fact::Complete { group_version };
+        let fact = LedgerRecord::Complete { group_version };
         if !self.is_voting() || self.book.complete_version() >= Some(group_version) {
             return Vec::new();
         }
--- a/crates/gateway/tests/members.rs
+++ b/crates/gateway/tests/members.rs
@@ -13,7 +13,9 @@
 use jayreel_gateway::edge::{FoundChain, Members};
 use jayreel_gateway::storage::{Event, Node};
 use jayreel_gateway::{AnswerFuture, LinkError, MemberLinks, now_ms};
-use jayreel_ledger::{Answer, Ask, Decision, Group, Member, TurnRecord};
+use jayreel_ledger::{
+    Decision, Group, Member, MemberRequest, MemberResponse, TurnRecord,
+};
 use support::{TOLERANCE, answers, appended, ask, record, reservation};
 use tokio::task::LocalSet;
 
@@ -33,7 +35,11 @@
 }
 
 /// Writes are on disk at once.
-fn answer(node: &mut Node, group_version: u64, question: Ask) -> Option<Answer> {
+fn answer(
+    node: &mut Node,
+    group_version: u64,
+    question: MemberRequest,
+) -> Option<MemberResponse> {
     let mut effects = ask(node, now_ms(), group_version, question);
     if let Some(through) = appended(&effects) {
         effects.extend(node.apply(now_ms(), Event::Synced { through }));
@@ -54,8 +60,12 @@
         for name in names {
             let mut nodes = self.nodes.borrow_mut();
             let node = nodes.get_mut(*name).expect("an instance");
-            let kept = answer(node, group_version, Ask::KeepTurn(record.clone()));
-            assert_eq!(kept, Some(Answer::Done), "{name}");
+            let kept = answer(
+                node,
+                group_version,
+                MemberRequest::StoreTurn(record.clone()),
+            );
+            assert_eq!(kept, Some(MemberResponse::Done), "{name}");
         }
     }
 
@@ -72,12 +82,12 @@
             let found = answer(
                 node,
                 node.group().version,
-                Ask::Chain {
+                MemberRequest::Chain {
                     turn,
-                    most_turns: 10,
+                    max_chain_turns: 10,
                 },
             );
-            matches!(found, Some(Answer::Chain(turns)) if !turns.is_empty())
+            matches!(found, Some(MemberResponse::Chain(turns)) if !turns.is_empty())
         });
         members.count()
     }
@@ -86,11 +96,17 @@
 struct Direct(Rc<Cluster>);
 
 impl MemberLinks for Direct {
-    fn ask(&self, member: &Member, group_version: u64, ask: Ask, _: u64) -> AnswerFuture {
+    fn ask(
+        &self,
+        member: &Member,
+        group_version: u64,
+        ask: MemberRequest,
+        _: u64,
+    ) -> AnswerFuture {
         let mut nodes = self.0.nodes.borrow_mut();
         let node = nodes.get_mut(&member.name).expect("an instance");
         let reply = answer(node, group_version, ask).ok_or(LinkError::TimedOut);
-        if let Ok(Answer::Chain(turns)) = &reply {
+        if let Ok(MemberResponse::Chain(turns)) = &reply {
             self.0.sent_turns.set(self.0.sent_turns.get() + turns.len());
         }
         drop(nodes);
--- a/crates/gateway/tests/program_load.rs
+++ b/crates/gateway/tests/program_load.rs
@@ -8,7 +8,8 @@
 
 use jayreel_gateway::storage::{Event, Node};
 use jayreel_ledger::{
-    Answer, Ask, Group, QuotaUse, QuotaWant, RateLimit, Settlement, TurnBudget,
+    Group, MemberRequest, MemberResponse, QuotaPurpose, QuotaRequest, RateLimit,
+    Settlement, TurnBudget,
 };
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -43,31 +44,36 @@
 /// Asks the members in turn for the token of one request, as an entry instance does that knows
 /// nothing of the program.
 fn is_granted(members: &mut [Node], now_ms: u64, program: &str) -> bool {
-    let want = QuotaWant {
+    let want = QuotaRequest {
         customer: "customer".to_string(),
         program: Some(program.to_string()),
         requests: 1,
-        quota_use: QuotaUse::Begin,
+        quota_purpose: QuotaPurpose::StartProgram,
         budget: Some(TurnBudget {
             budget_tokens: BUDGET_TOKENS,
-            most_tokens: 100,
+            max_turn_tokens: 100,
         }),
         limit: LIMIT,
     };
     members.iter_mut().any(|member| {
         let wants = vec![want.clone()];
-        let take = Ask::TakeQuota {
+        let take = MemberRequest::TakeQuota {
             configuration_version: 1,
             wants,
         };
-        answers(&ask(member, now_ms, 1, take)) == [Answer::Quota(vec![1])]
+        answers(&ask(member, now_ms, 1, take)) == [MemberResponse::Quota(vec![1])]
     })
 }
 
 fn reserve(members: &mut [Node], now_ms: u64, program: &str) {
     let reservation = reservation(program, &format!("turn of {program}"));
     for member in members {
-        ask(member, now_ms, 1, Ask::Reserve(reservation.clone()));
+        ask(
+            member,
+            now_ms,
+            1,
+            MemberRequest::Reserve(reservation.clone()),
+        );
     }
 }
 
@@ -154,7 +160,7 @@
                 turn: "turn".to_string(),
                 used_tokens: 950,
             };
-            ask(member, now_ms, 1, Ask::Settle(settlement));
+            ask(member, now_ms, 1, MemberRequest::Settle(settlement));
         }
         used = true;
         if now_ms.is_multiple_of(20) {
--- a/crates/gateway/tests/storage.rs
+++ b/crates/gateway/tests/storage.rs
@@ -4,14 +4,15 @@
 
 use jayreel_gateway::storage::{Disk, Effect, Event, Node};
 use jayreel_ledger::{
-    Answer, Ask, Fact, Group, QuotaUse, QuotaWant, RateLimit, decode_frames, encode_frame,
+    Group, LedgerRecord, MemberRequest, MemberResponse, QuotaPurpose, QuotaRequest,
+    RateLimit, decode_frames, encode_frame,
 };
 use support::{TOLERANCE, answers, appended, ask, member, record, reservation};
 
-fn chain(turn: String) -> Ask {
-    Ask::Chain {
+fn chain(turn: String) -> MemberRequest {
+    MemberRequest::Chain {
         turn,
-        most_turns: 10,
+        max_chain_turns: 10,
     }
 }
 
@@ -29,11 +30,11 @@
 #[test]
 fn reply_waits_for_the_disk() {
     let mut node = founder("a");
-    let effects = ask(&mut node, 1, 1, Ask::KeepTurn(record("t")));
+    let effects = ask(&mut node, 1, 1, MemberRequest::StoreTurn(record("t")));
     assert!(answers(&effects).is_empty());
     let number = appended(&effects).expect("the turn is written");
     let effects = node.apply(2, Event::Synced { through: number });
-    assert_eq!(answers(&effects), [Answer::Done]);
+    assert_eq!(answers(&effects), [MemberResponse::Done]);
 }
 
 /// A question that was repeated because its answer was lost is answered at once if what it
@@ -41,28 +42,33 @@
 #[test]
 fn repeated_question_does_not_wait_for_the_next_write() {
     let mut node = founder("a");
-    let effects = ask(&mut node, 1, 1, Ask::KeepTurn(record("t")));
+    let effects = ask(&mut node, 1, 1, MemberRequest::StoreTurn(record("t")));
     let number = appended(&effects).expect("the turn is written");
     node.apply(2, Event::Synced { through: number });
-    let effects = ask(&mut node, 1, 1, Ask::KeepTurn(record("t")));
-    assert_eq!(answers(&effects), [Answer::Done]);
+    let effects = ask(&mut node, 1, 1, MemberRequest::StoreTurn(record("t")));
+    assert_eq!(answers(&effects), [MemberResponse::Done]);
     assert_eq!(appended(&effects), None);
 }
 
 #[test]
 fn charges_list_the_turns_of_a_program() {
     let mut node = founder("a");
-    let effects = ask(&mut node, 1, 1, Ask::Reserve(reservation("program", "t1")));
+    let effects = ask(
+        &mut node,
+        1,
+        1,
+        MemberRequest::Reserve(reservation("program", "t1")),
+    );
     let number = appended(&effects).expect("the reservation is written");
     node.apply(2, Event::Synced { through: number });
     let effects = ask(
         &mut node,
         1,
         1,
-        Ask::Charges(reservation("program", "t1").program),
+        MemberRequest::Charges(reservation("program", "t1").program),
     );
     match &answers(&effects)[..] {
-        [Answer::Charges(charges)] => {
+        [MemberResponse::Charges(charges)] => {
             assert_eq!(charges.len(), 1);
             assert_eq!(charges[0].tokens, 100);
             assert!(!charges[0].is_settled);
@@ -78,8 +84,13 @@
     let next = group().replace(Some("b"), Some(member("d")));
     node.apply(1, Event::GroupLearned(next.clone()));
     assert!(node.is_voting(), "it was complete in the version before");
-    let effects = ask(&mut node, 1, 1, Ask::Reserve(reservation("program", "t")));
-    assert_eq!(answers(&effects), [Answer::Closed(next)]);
+    let effects = ask(
+        &mut node,
+        1,
+        1,
+        MemberRequest::Reserve(reservation("program", "t")),
+    );
+    assert_eq!(answers(&effects), [MemberResponse::GroupSuperseded(next)]);
 }
 
 /// A copy taken from a member that knows a newer version could be used to vote in the older
@@ -89,8 +100,8 @@
     let mut node = founder("a");
     let next = group().replace(Some("b"), Some(member("d")));
     node.apply(1, Event::GroupLearned(next.clone()));
-    let effects = ask(&mut node, 1, 1, Ask::CopyPart { cursor: 0 });
-    assert_eq!(answers(&effects), [Answer::Closed(next)]);
+    let effects = ask(&mut node, 1, 1, MemberRequest::CopyPart { cursor: 0 });
+    assert_eq!(answers(&effects), [MemberResponse::GroupSuperseded(next)]);
 }
 
 /// A member whose disk was lost knows neither charges nor turns; it must not say so.
@@ -101,10 +112,10 @@
     assert!(!node.is_voting());
     let turn = "t".to_string();
     let effects = ask(&mut node, 1, 1, chain(turn));
-    assert_eq!(answers(&effects), [Answer::NotVoting]);
+    assert_eq!(answers(&effects), [MemberResponse::NotVoting]);
     for source in ["b", "c"] {
         assert!(!node.is_voting());
-        let facts = vec![Fact::Turn(record("t"))];
+        let facts = vec![LedgerRecord::Turn(record("t"))];
         node.apply(
             1,
             Event::Copied {
@@ -117,18 +128,21 @@
     assert!(node.is_voting());
     let turn = "t".to_string();
     let effects = ask(&mut node, 1, 1, chain(turn));
-    assert_eq!(answers(&effects), [Answer::Chain(vec![record("t")])]);
+    assert_eq!(
+        answers(&effects),
+        [MemberResponse::Chain(vec![record("t")])]
+    );
 }
 
 /// After a kill of all processes members waited for their next look at the store before they
 /// answered (scale-1 of dvcra-council-reports): being told the group is enough.
 #[test]
 fn member_votes_as_soon_as_it_is_told_the_group() {
-    let facts = [Fact::Complete { group_version: 1 }];
+    let facts = [LedgerRecord::Complete { group_version: 1 }];
     let mut node = Node::new("a", false, 0, TOLERANCE, &facts);
     assert!(!node.is_voting());
-    let effects = ask(&mut node, 1, 1, Ask::Adopt(group()));
-    assert_eq!(answers(&effects), [Answer::Done]);
+    let effects = ask(&mut node, 1, 1, MemberRequest::AdoptGroup(group()));
+    assert_eq!(answers(&effects), [MemberResponse::Done]);
     assert!(node.is_voting());
 }
 
@@ -137,24 +151,24 @@
 fn mark_of_completeness_is_not_copied() {
     let mut node = Node::new("a", false, 0, TOLERANCE, &[]);
     node.apply(0, Event::GroupLearned(group()));
-    let facts = vec![Fact::Complete { group_version: 1 }];
-    ask(&mut node, 1, 1, Ask::KeepFacts(facts));
+    let facts = vec![LedgerRecord::Complete { group_version: 1 }];
+    ask(&mut node, 1, 1, MemberRequest::StoreRecords(facts));
     assert!(!node.has_voted());
 }
 
-fn take(node: &mut Node, now_ms: u64, requests: u32) -> (u32, Vec<Fact>) {
-    let want = QuotaWant {
+fn take(node: &mut Node, now_ms: u64, requests: u32) -> (u32, Vec<LedgerRecord>) {
+    let want = QuotaRequest {
         customer: "customer".to_string(),
         program: None,
         requests,
         budget: None,
-        quota_use: QuotaUse::GoOn,
+        quota_purpose: QuotaPurpose::ContinueProgram,
         limit: RateLimit {
             rate_per_s: 30.0,
             burst: 30.0,
         },
     };
-    let take = Ask::TakeQuota {
+    let take = MemberRequest::TakeQuota {
         configuration_version: 1,
         wants: vec![want],
     };
@@ -165,7 +179,7 @@
     });
     let facts = facts.collect();
     match &answers(&effects)[..] {
-        [Answer::Quota(granted)] => (granted[0], facts),
+        [MemberResponse::Quota(granted)] => (granted[0], facts),
         other => panic!("{other:?}"),
     }
 }
@@ -177,7 +191,7 @@
     let mut node = founder("a");
     let (granted, granted_facts) = take(&mut node, 10_000, 500);
     assert_eq!(granted, 60);
-    let mut facts = vec![Fact::Complete { group_version: 1 }];
+    let mut facts = vec![LedgerRecord::Complete { group_version: 1 }];
     facts.extend(granted_facts);
     let mut node = Node::new("a", false, 200, TOLERANCE, &facts);
     node.apply(200, Event::GroupLearned(group()));
@@ -208,7 +222,7 @@
     assert_eq!(take(&mut node, 25_000, 1).0, 1);
 }
 
-fn frames(facts: &[Fact]) -> Vec<u8> {
+fn frames(facts: &[LedgerRecord]) -> Vec<u8> {
     let mut frames = Vec::new();
     for fact in facts {
         encode_frame(fact, &mut frames).expect("a fact can be encoded");
@@ -219,7 +233,10 @@
 /// After a loss of power the end of the log may be torn at any byte.
 #[test]
 fn torn_log_gives_the_whole_facts_before() {
-    let facts = [Fact::Turn(record("t1")), Fact::Turn(record("t2"))];
+    let facts = [
+        LedgerRecord::Turn(record("t1")),
+        LedgerRecord::Turn(record("t2")),
+    ];
     let bytes = frames(&facts);
     let first = frames(&facts[..1]).len();
     for length in 0..bytes.len() {
@@ -261,16 +278,22 @@
     let (disk, facts, mut synced) =
         Disk::open(&folder.0).expect("the folder can be used");
     assert!(facts.is_empty());
-    disk.append(1, true, frames(&[Fact::Turn(record("t1"))]));
+    disk.append(1, true, frames(&[LedgerRecord::Turn(record("t1"))]));
     assert_eq!(synced.recv().await, Some(1));
     disk.close();
     let (disk, facts, mut synced) =
         Disk::open(&folder.0).expect("the folder can be used");
-    assert_eq!(facts, [Fact::Turn(record("t1"))]);
-    disk.replace(frames(&[Fact::Turn(record("t2"))]));
-    disk.append(2, true, frames(&[Fact::Turn(record("t3"))]));
+    assert_eq!(facts, [LedgerRecord::Turn(record("t1"))]);
+    disk.replace(frames(&[LedgerRecord::Turn(record("t2"))]));
+    disk.append(2, true, frames(&[LedgerRecord::Turn(record("t3"))]));
     assert_eq!(synced.recv().await, Some(2));
     disk.close();
     let (_, facts, _) = Disk::open(&folder.0).expect("the folder can be used");
-    assert_eq!(facts, [Fact::Turn(record("t2")), Fact::Turn(record("t3"))]);
+    assert_eq!(
+        facts,
+        [
+            LedgerRecord::Turn(record("t2")),
+            LedgerRecord::Turn(record("t3"))
+        ]
+    );
 }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -5,7 +5,8 @@
 use bytes::Bytes;
 use jayreel_gateway::storage::{ConnectionKey, Effect, Event, Node};
 use jayreel_ledger::{
-    Answer, Ask, Member, ProgramKey, RateTolerance, Request, Reservation, TurnRecord,
+    Member, MemberRequest, MemberResponse, ProgramKey, RateTolerance, Request,
+    Reservation, TurnRecord,
 };
 
 /// Window in which customers' rates are agreed.
@@ -43,16 +44,21 @@
     Reservation {
         program: ProgramKey::new("customer", program),
         turn: turn.to_string(),
-        most_tokens: 100,
+        max_turn_tokens: 100,
     }
 }
 
 /// Asks an instance a question.
-pub fn ask(node: &mut Node, now_ms: u64, group_version: u64, ask: Ask) -> Vec<Effect> {
+pub fn ask(
+    node: &mut Node,
+    now_ms: u64,
+    group_version: u64,
+    body: MemberRequest,
+) -> Vec<Effect> {
     let request = Request {
         id: 1,
         group_version,
-        ask,
+        body,
     };
     let connection = ConnectionKey::default();
     node.apply(
@@ -65,9 +71,9 @@
 }
 
 /// The answers among effects.
-pub fn answers(effects: &[Effect]) -> Vec<Answer> {
+pub fn answers(effects: &[Effect]) -> Vec<MemberResponse> {
     let replies = effects.iter().filter_map(|effect| match effect {
-        Effect::Reply { reply, .. } => Some(reply.answer.clone()),
+        Effect::Reply { reply, .. } => Some(reply.body.clone()),
         Effect::Append { .. } => None,
     });
     replies.collect()
--- a/crates/ledger/src/admission.rs
+++ b/crates/ledger/src/admission.rs
@@ -34,15 +34,15 @@
 
 /// The charges of other turns of a program, merged from several members.
 #[derive(Debug)]
-pub struct Tally {
+pub struct BudgetCheck {
     own: u64,
     charges: HashMap<u64, ChargeView>,
 }
 
-impl Tally {
+impl BudgetCheck {
     /// A tally for the turn that is being decided.
-    pub fn new(turn: &str) -> Tally {
-        Tally {
+    pub fn new(turn: &str) -> BudgetCheck {
+        BudgetCheck {
             own: turn_digest(turn),
             charges: HashMap::new(),
         }
@@ -64,8 +64,13 @@
     }
 
     /// Decides the turn.
-    pub fn decide(&self, phase: Phase, budget_tokens: u64, most_tokens: u32) -> Decision {
-        let total_tokens = self.others_tokens() + u64::from(most_tokens);
+    pub fn decide(
+        &self,
+        phase: Phase,
+        budget_tokens: u64,
+        max_turn_tokens: u32,
+    ) -> Decision {
+        let total_tokens = self.others_tokens() + u64::from(max_turn_tokens);
         let has_pending = self.charges.values().any(|charge| !charge.is_settled);
         match phase {
             _ if total_tokens > budget_tokens => Decision::Exhausted,
--- a/crates/ledger/src/book.rs
+++ b/crates/ledger/src/book.rs
@@ -3,7 +3,8 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use crate::fact::{
-    ChargeView, Fact, ProgramKey, Reservation, Settlement, TurnRecord, turn_digest,
+    ChargeView, LedgerRecord, ProgramKey, Reservation, Settlement, TurnRecord,
+    turn_digest,
 };
 
 /// How long charges of a program are kept after the last one, in milliseconds. Programs may
@@ -45,7 +46,7 @@
 
 /// Facts of one instance, merged.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct LedgerState {
     accounts: HashMap<ProgramKey, Account>,
     turns: HashMap<String, StoredTurn>,
     /// Turns by the order in which they were added. Has one entry for each of `turns`.
@@ -57,14 +58,14 @@
     grants: VecDeque<(u64, String, u32)>,
 }
 
-impl Book {
+impl LedgerState {
     /// Merges a fact. Returns whether it told anything new.
-    pub fn merge(&mut self, now_ms: u64, fact: &Fact) -> bool {
+    pub fn merge(&mut self, now_ms: u64, fact: &LedgerRecord) -> bool {
         match fact {
-            Fact::Reserved(reservation) => self.reserve(now_ms, reservation),
-            Fact::Settled(settlement) => self.settle(now_ms, settlement),
-            Fact::Turn(record) => self.add_turn(now_ms, record),
-            Fact::Granted {
+            LedgerRecord::Reserved(reservation) => self.reserve(now_ms, reservation),
+            LedgerRecord::Settled(settlement) => self.settle(now_ms, settlement),
+            LedgerRecord::Turn(record) => self.add_turn(now_ms, record),
+            LedgerRecord::Granted {
                 at_ms,
                 customer,
                 count,
@@ -73,7 +74,7 @@
                 self.forget_grants(*at_ms);
                 true
             }
-            Fact::Complete { group_version } => {
+            LedgerRecord::Complete { group_version } => {
                 let is_new = self.complete_version < Some(*group_version);
                 self.complete_version = self.complete_version.max(Some(*group_version));
                 is_new
@@ -126,7 +127,7 @@
         let digest = turn_digest(&reservation.turn);
         let is_new = !account.charges.contains_key(&digest);
         account.charges.entry(digest).or_insert_with(|| Charge {
-            tokens: reservation.most_tokens,
+            tokens: reservation.max_turn_tokens,
             is_settled: false,
             turn: reservation.turn.clone(),
         });
@@ -198,13 +199,13 @@
             .collect()
     }
 
-    /// The turn and up to `most_turns` - 1 of those before it, as far as this book holds them
+    /// The turn and up to `max_chain_turns` - 1 of those before it, as far as this book holds them
     /// without a gap.
-    pub fn chain(&mut self, now_ms: u64, turn: &str, most_turns: u32) -> Chain {
+    pub fn chain(&mut self, now_ms: u64, turn: &str, max_chain_turns: u32) -> Chain {
         self.touch_ancestors(now_ms, Some(turn.to_string()));
         let mut chain = Chain::default();
         let mut next = Some(turn.to_string());
-        for _ in 0..most_turns {
+        for _ in 0..max_chain_turns {
             let Some(stored) = next.and_then(|turn| self.turns.get(&turn)) else {
                 break;
             };
@@ -217,7 +218,11 @@
     /// Facts about budgets, then turns in the order in which they were added, from a cursor
     /// on. Returns the facts and the cursor of the next part, or none at the end. A part
     /// ends after `part_bytes` of content, but holds at least one turn.
-    pub fn part(&self, cursor: u64, part_bytes: usize) -> (Vec<Fact>, Option<u64>) {
+    pub fn part(
+        &self,
+        cursor: u64,
+        part_bytes: usize,
+    ) -> (Vec<LedgerRecord>, Option<u64>) {
         if cursor == 0 {
             return (self.budget_facts(), Some(1));
         }
@@ -229,12 +234,12 @@
             }
             let record = &self.turns[turn].record;
             size_bytes += record.input.len() + record.output.len();
-            facts.push(Fact::Turn(record.clone()));
+            facts.push(LedgerRecord::Turn(record.clone()));
         }
         (facts, None)
     }
 
-    fn budget_facts(&self) -> Vec<Fact> {
+    fn budget_facts(&self) -> Vec<LedgerRecord> {
         let accounts = self.accounts.iter();
         accounts
             .flat_map(|(program, account)| {
@@ -245,17 +250,20 @@
     }
 
     /// Every fact, for a compacted copy of the log.
-    pub fn facts(&self) -> Vec<Fact> {
+    pub fn facts(&self) -> Vec<LedgerRecord> {
         let turns = self.order.values();
-        let turns = turns.map(|turn| Fact::Turn(self.turns[turn].record.clone()));
+        let turns = turns.map(|turn| LedgerRecord::Turn(self.turns[turn].record.clone()));
         let complete = self.complete_version.into_iter();
-        let complete = complete.map(|group_version| Fact::Complete { group_version });
+        let complete =
+            complete.map(|group_version| LedgerRecord::Complete { group_version });
         let mut facts = self.budget_facts();
-        let grants = self.grants().map(|(at_ms, customer, count)| Fact::Granted {
-            at_ms,
-            customer: customer.to_string(),
-            count,
-        });
+        let grants =
+            self.grants()
+                .map(|(at_ms, customer, count)| LedgerRecord::Granted {
+                    at_ms,
+                    customer: customer.to_string(),
+                    count,
+                });
         facts.extend(turns);
         facts.extend(grants);
         facts.extend(complete);
@@ -293,17 +301,17 @@
     }
 }
 
-fn charge_fact(program: &ProgramKey, charge: &Charge) -> Fact {
+fn charge_fact(program: &ProgramKey, charge: &Charge) -> LedgerRecord {
     match charge.is_settled {
-        true => Fact::Settled(Settlement {
+        true => LedgerRecord::Settled(Settlement {
             program: program.clone(),
             turn: charge.turn.clone(),
             used_tokens: charge.tokens,
         }),
-        false => Fact::Reserved(Reservation {
+        false => LedgerRecord::Reserved(Reservation {
             program: program.clone(),
             turn: charge.turn.clone(),
-            most_tokens: charge.tokens,
+            max_turn_tokens: charge.tokens,
         }),
     }
 }
--- a/crates/ledger/src/fact.rs
+++ b/crates/ledger/src/fact.rs
@@ -30,7 +30,7 @@
     /// Request identifier of the turn.
     pub turn: String,
     /// Most tokens that the turn may generate.
-    pub most_tokens: u32,
+    pub max_turn_tokens: u32,
 }
 
 /// What a turn generated in the end.
@@ -63,7 +63,7 @@
 
 /// One entry of the log on disk.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Fact {
+pub enum LedgerRecord {
     /// Tokens are set aside for a turn.
     Reserved(Reservation),
     /// A turn has ended and its use is known.
@@ -97,10 +97,13 @@
     pub is_settled: bool,
 }
 
-impl Fact {
+impl LedgerRecord {
     /// Whether the fact holds for all instances, and not only for the owner of its log.
     pub fn is_shared(&self) -> bool {
-        matches!(self, Fact::Reserved(_) | Fact::Settled(_) | Fact::Turn(_))
+        matches!(
+            self,
+            LedgerRecord::Reserved(_) | LedgerRecord::Settled(_) | LedgerRecord::Turn(_)
+        )
     }
 }
 
--- a/crates/ledger/src/group.rs
+++ b/crates/ledger/src/group.rs
@@ -103,7 +103,7 @@
 
 /// Whether an instance may answer for a group.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub enum Standing {
+pub enum MembershipState {
     /// It is no member.
     Spare,
     /// It is a member, but lacks facts.
@@ -112,25 +112,25 @@
     Voting,
 }
 
-impl Standing {
+impl MembershipState {
     /// The standing of the instance `name` when it learns a group. `complete_version` is the
     /// newest version for which its facts were complete.
     ///
     /// A member that was complete in the version before stays complete: what others wrote
     /// since has a quorum without it.
-    pub fn on_learning(
+    pub fn for_new_group(
         group: &Group,
         name: &str,
         complete_version: Option<u64>,
-    ) -> Standing {
+    ) -> MembershipState {
         let was_member = group.previous.iter().any(|member| member.name == name);
         match group.contains(name) {
-            false => Standing::Spare,
-            true if complete_version == Some(group.version) => Standing::Voting,
+            false => MembershipState::Spare,
+            true if complete_version == Some(group.version) => MembershipState::Voting,
             true if was_member && complete_version == Some(group.version - 1) => {
-                Standing::Voting
+                MembershipState::Voting
             }
-            true => Standing::CatchingUp(CatchUp::plan(group, name)),
+            true => MembershipState::CatchingUp(CatchUp::plan(group, name)),
         }
     }
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,8 +1,8 @@
 //! What the instances with disks keep: charges against the budgets of programs and the
 //! finished turns of conversations.
 //!
-//! Everything kept is a [`Fact`]. Facts are never changed, and merging them gives the same
-//! [`Book`] in any order and with any repetition, so copies need no agreement: a fact is
+//! Everything kept is a [`LedgerRecord`]. Facts are never changed, and merging them gives the same
+//! [`LedgerState`] in any order and with any repetition, so copies need no agreement: a fact is
 //! safe once a quorum of the [`Group`] has it on disk, and a reader that asks a quorum sees
 //! it. What must be agreed, the membership of the group, is one record in the platform's
 //! store.
@@ -17,15 +17,16 @@
 mod message;
 mod rate;
 
-pub use admission::{Decision, Phase, Tally};
-pub use book::{Book, Chain};
+pub use admission::{BudgetCheck, Decision, Phase};
+pub use book::{Chain, LedgerState};
 pub use fact::{
-    ChargeView, Fact, ProgramKey, Reservation, Settlement, TurnRecord, turn_digest,
+    ChargeView, LedgerRecord, ProgramKey, Reservation, Settlement, TurnRecord,
+    turn_digest,
 };
-pub use group::{CatchUp, Group, Member, Standing};
+pub use group::{CatchUp, Group, Member, MembershipState};
 pub use log::{decode_frames, encode_frame};
 pub use message::{
-    Answer, Ask, EndpointCursor, QuotaWant, Reply, Request, SharedConfiguration,
-    SharedEndpoints, TurnBudget, ZonePresence,
+    EndpointCursor, MemberRequest, MemberResponse, QuotaRequest, Reply, Request,
+    SharedConfiguration, SharedEndpoints, TurnBudget, ZonePresence,
 };
-pub use rate::{QuotaUse, RateLimit, RateShare, RateTolerance};
+pub use rate::{QuotaPurpose, RateLimit, RateShare, RateTolerance};
--- a/crates/ledger/src/log.rs
+++ b/crates/ledger/src/log.rs
@@ -3,7 +3,7 @@
 //! After a loss of power the end of a file may be missing or torn. Frames that were synced
 //! are whole, so reading stops at the first frame that is not.
 
-use crate::fact::Fact;
+use crate::fact::LedgerRecord;
 
 /// Length and checksum before each frame, in bytes.
 const HEAD_BYTES: usize = 8;
@@ -13,7 +13,10 @@
 /// # Errors
 ///
 /// If the fact cannot be encoded.
-pub fn encode_frame(fact: &Fact, buffer: &mut Vec<u8>) -> Result<(), postcard::Error> {
+pub fn encode_frame(
+    fact: &LedgerRecord,
+    buffer: &mut Vec<u8>,
+) -> Result<(), postcard::Error> {
     let content = postcard::to_stdvec(fact)?;
     let length =
         u32::try_from(content.len()).map_err(|_| postcard::Error::SerializeBufferFull)?;
@@ -24,7 +27,7 @@
 }
 
 /// Reads whole frames. Returns the facts and the number of bytes that were whole.
-pub fn decode_frames(bytes: &[u8]) -> (Vec<Fact>, usize) {
+pub fn decode_frames(bytes: &[u8]) -> (Vec<LedgerRecord>, usize) {
     let mut facts = Vec::new();
     let mut whole_bytes = 0;
     while let Some((fact, length)) = decode_frame(&bytes[whole_bytes..]) {
@@ -34,7 +37,7 @@
     (facts, whole_bytes)
 }
 
-fn decode_frame(bytes: &[u8]) -> Option<(Fact, usize)> {
+fn decode_frame(bytes: &[u8]) -> Option<(LedgerRecord, usize)> {
     let (length, rest) = bytes.split_first_chunk::<4>()?;
     let (checksum, rest) = rest.split_first_chunk::<4>()?;
     let length = usize::try_from(u32::from_le_bytes(*length)).ok()?;
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -2,9 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::fact::{ChargeView, Fact, ProgramKey, Reservation, Settlement, TurnRecord};
+use crate::fact::{
+    ChargeView, LedgerRecord, ProgramKey, Reservation, Settlement, TurnRecord,
+};
 use crate::group::Group;
-use crate::rate::{QuotaUse, RateLimit};
+use crate::rate::{QuotaPurpose, RateLimit};
 
 /// A numbered question on a connection.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -14,7 +16,7 @@
     /// Version of the group that the sender counts quorums in. 0 if it knows none.
     pub group_version: u64,
     /// The question.
-    pub ask: Ask,
+    pub body: MemberRequest,
 }
 
 /// The reply to one question.
@@ -23,12 +25,12 @@
     /// Number of the question.
     pub id: u64,
     /// The answer.
-    pub answer: Answer,
+    pub body: MemberResponse,
 }
 
 /// Tokens of a customer's rate that an instance wants.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct QuotaWant {
+pub struct QuotaRequest {
     /// Name of the customer.
     pub customer: String,
     /// Identifier of the program, if the tokens are for a request of one.
@@ -37,7 +39,7 @@
     pub requests: u32,
     /// What they are for, as far as the sender knows. A member may know that the program
     /// has begun.
-    pub quota_use: QuotaUse,
+    pub quota_purpose: QuotaPurpose,
     /// The budget that the request draws on, if it is a turn with one.
     pub budget: Option<TurnBudget>,
     /// The customer's limit as the sender knows it.
@@ -50,14 +52,14 @@
     /// Tokens that all turns of the program may generate.
     pub budget_tokens: u64,
     /// Most tokens that the turn may generate.
-    pub most_tokens: u32,
+    pub max_turn_tokens: u32,
 }
 
 /// A question.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Ask {
+pub enum MemberRequest {
     /// The newest group that the sender knows. Versions before it are closed from now on.
-    Adopt(Group),
+    AdoptGroup(Group),
     /// Write a reservation; answered with the program's charges once it is on disk.
     Reserve(Reservation),
     /// The charges of a program.
@@ -65,24 +67,24 @@
     /// Write the use of a turn.
     Settle(Settlement),
     /// Write a finished turn; answered once it is on disk.
-    KeepTurn(TurnRecord),
+    StoreTurn(TurnRecord),
     /// Write facts from another instance's book; answered once they are on disk.
-    KeepFacts(Vec<Fact>),
+    StoreRecords(Vec<LedgerRecord>),
     /// A turn and the turns before it.
     Chain {
         /// Request identifier of the newest turn.
         turn: String,
         /// How many turns are wanted. The asker may hold the older ones.
-        most_turns: u32,
+        max_chain_turns: u32,
     },
     /// Tokens of customers' rates.
     TakeQuota {
         /// Version of the configuration that the limits come from.
         configuration_version: u64,
         /// One entry for each customer.
-        wants: Vec<QuotaWant>,
+        wants: Vec<QuotaRequest>,
     },
-    /// A part of all facts, see [`crate::Book::part`].
+    /// A part of all facts, see [`crate::LedgerState::part`].
     CopyPart {
         /// 0 for the first part.
         cursor: u64,
@@ -150,7 +152,7 @@
 
 /// An answer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Answer {
+pub enum MemberResponse {
     /// Done, and on disk where the question asks for that.
     Done,
     /// The charges of a program.
@@ -162,7 +164,7 @@
     /// A part of all facts.
     Part {
         /// The facts.
-        facts: Vec<Fact>,
+        facts: Vec<LedgerRecord>,
         /// Cursor of the next part.
         next: Option<u64>,
         /// Whether the instance held all facts of its group.
@@ -182,7 +184,7 @@
     /// Changes of endpoints.
     Endpoints(SharedEndpoints),
     /// The sender's version is closed. This is the newest group.
-    Closed(Group),
+    GroupSuperseded(Group),
     /// The instance does not vote (yet): its disk is new, or it is no member.
     NotVoting,
     /// The instance cannot answer now.
--- a/crates/ledger/src/rate.rs
+++ b/crates/ledger/src/rate.rs
@@ -36,13 +36,13 @@
 /// Answers the pattern of a customer that sends several times its limit in programs of many
 /// requests: if each request has the same chance, most programs begin and hardly any ends.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum QuotaUse {
+pub enum QuotaPurpose {
     /// A request of a program that has begun.
-    GoOn,
+    ContinueProgram,
     /// The first request of a program, or one without a program.
-    Begin,
+    StartProgram,
     /// Requests that have not come yet.
-    Advance,
+    Prefetch,
 }
 
 /// Part of the bucket that new programs leave, so that programs which have begun go on.
@@ -161,7 +161,7 @@
         customer: &str,
         requests: u32,
         parts: usize,
-        quota_use: QuotaUse,
+        quota_purpose: QuotaPurpose,
     ) -> u32 {
         let Some(limit) = self.limits.get(customer).copied() else {
             return 0;
@@ -187,11 +187,13 @@
         let in_bucket =
             |kept_part: f64| account.tokens - (kept_part * capacity).min(capacity - 1.0);
         let uncontended = UNCONTENDED_PART * (in_window + limit.burst / parts);
-        let free = match quota_use {
-            QuotaUse::GoOn => room + slack,
+        let free = match quota_purpose {
+            QuotaPurpose::ContinueProgram => room + slack,
             _ if !keeps => account.tokens,
-            QuotaUse::Begin => in_bucket(BEGIN_KEPT_PART).max(uncontended - used),
-            QuotaUse::Advance => in_bucket(ADVANCE_KEPT_PART),
+            QuotaPurpose::StartProgram => {
+                in_bucket(BEGIN_KEPT_PART).max(uncontended - used)
+            }
+            QuotaPurpose::Prefetch => in_bucket(ADVANCE_KEPT_PART),
         };
         let granted = free
             .min(room + slack)
--- a/crates/ledger/tests/rate.rs
+++ b/crates/ledger/tests/rate.rs
@@ -1,6 +1,6 @@
 //! The part of a customer's rate that one member hands out.
 
-use jayreel_ledger::{QuotaUse, RateLimit, RateShare, RateTolerance};
+use jayreel_ledger::{QuotaPurpose, RateLimit, RateShare, RateTolerance};
 use proptest::prelude::*;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -42,20 +42,20 @@
 #[test]
 fn program_that_has_begun_may_use_a_part_of_the_slack() {
     let mut share = share_with(0, TOLERANT);
-    let granted = share.take(10_000, "c", 500, 3, QuotaUse::GoOn);
+    let granted = share.take(10_000, "c", 500, 3, QuotaPurpose::ContinueProgram);
     assert_eq!(granted, IN_WINDOW / 3 + SLACK / 6);
-    assert_eq!(share.take(14_900, "c", 1, 3, QuotaUse::Begin), 0);
+    assert_eq!(share.take(14_900, "c", 1, 3, QuotaPurpose::StartProgram), 0);
 }
 
 /// New programs, and requests that have not come yet, get nothing beyond the limit.
-#[test_case(QuotaUse::Begin)]
-#[test_case(QuotaUse::Advance)]
-fn slack_is_for_programs_that_have_begun(quota_use: QuotaUse) {
+#[test_case(QuotaPurpose::StartProgram)]
+#[test_case(QuotaPurpose::Prefetch)]
+fn slack_is_for_programs_that_have_begun(quota_purpose: QuotaPurpose) {
     let [strict, tolerant] = [STRICT, TOLERANT].map(|tolerance| {
         let mut share = share_with(0, tolerance);
         let steps = (10_000..20_000).step_by(10);
         steps
-            .map(|now_ms| share.take(now_ms, "c", 1, 3, quota_use))
+            .map(|now_ms| share.take(now_ms, "c", 1, 3, quota_purpose))
             .sum::<u32>()
     });
     assert_eq!(strict, tolerant);
@@ -66,21 +66,27 @@
 fn program_that_has_begun_may_use_the_window() {
     let mut share = share_at(0);
     assert_eq!(
-        share.take(10_000, "c", 500, 3, QuotaUse::GoOn),
+        share.take(10_000, "c", 500, 3, QuotaPurpose::ContinueProgram),
         IN_WINDOW / 3
     );
-    assert_eq!(share.take(14_999, "c", 1, 3, QuotaUse::GoOn), 0);
-    assert_eq!(share.take(15_000, "c", 1, 3, QuotaUse::GoOn), 1);
+    assert_eq!(
+        share.take(14_999, "c", 1, 3, QuotaPurpose::ContinueProgram),
+        0
+    );
+    assert_eq!(
+        share.take(15_000, "c", 1, 3, QuotaPurpose::ContinueProgram),
+        1
+    );
 }
 
 /// New programs wait until the rate has earned what those that have begun used.
 #[test]
 fn new_programs_wait_for_the_rate() {
     let mut share = share_at(0);
-    share.take(10_000, "c", 40, 3, QuotaUse::GoOn);
-    assert_eq!(share.take(10_000, "c", 1, 3, QuotaUse::Begin), 0);
-    assert_eq!(share.take(13_000, "c", 1, 3, QuotaUse::Begin), 0);
-    assert_eq!(share.take(14_000, "c", 1, 3, QuotaUse::Begin), 1);
+    share.take(10_000, "c", 40, 3, QuotaPurpose::ContinueProgram);
+    assert_eq!(share.take(10_000, "c", 1, 3, QuotaPurpose::StartProgram), 0);
+    assert_eq!(share.take(13_000, "c", 1, 3, QuotaPurpose::StartProgram), 0);
+    assert_eq!(share.take(14_000, "c", 1, 3, QuotaPurpose::StartProgram), 1);
 }
 
 #[test]
@@ -92,7 +98,10 @@
     };
     share.learn(0, 2, "c", lowered);
     share.learn(0, 1, "c", LIMIT);
-    assert_eq!(share.take(10_000, "c", 100, 1, QuotaUse::GoOn), 18);
+    assert_eq!(
+        share.take(10_000, "c", 100, 1, QuotaPurpose::ContinueProgram),
+        18
+    );
 }
 
 /// After all members have lost power, every program begins anew, and callers come back at
@@ -100,7 +109,8 @@
 #[test]
 fn new_programs_are_admitted_after_a_start() {
     let mut share = share_at(0);
-    let granted = (0..20).map(|step| share.take(step * 100, "c", 1, 3, QuotaUse::Begin));
+    let granted =
+        (0..20).map(|step| share.take(step * 100, "c", 1, 3, QuotaPurpose::StartProgram));
     assert!(granted.sum::<u32>() >= 19, "all that the rate has earned");
 }
 
@@ -109,8 +119,14 @@
     let mut share = RateShare::new(10_000, STRICT);
     share.restore(9_000, "c", 50);
     share.learn(10_000, 1, "c", LIMIT);
-    assert_eq!(share.take(10_000, "c", 500, 3, QuotaUse::GoOn), 10);
-    assert_eq!(share.take(14_000, "c", 500, 3, QuotaUse::GoOn), 50);
+    assert_eq!(
+        share.take(10_000, "c", 500, 3, QuotaPurpose::ContinueProgram),
+        10
+    );
+    assert_eq!(
+        share.take(14_000, "c", 500, 3, QuotaPurpose::ContinueProgram),
+        50
+    );
 }
 
 /// What the disk that was lost had granted is not known.
@@ -118,13 +134,19 @@
 fn nothing_is_granted_while_earlier_grants_are_unknown() {
     let mut share = share_at(10_000);
     share.block_since(10_000);
-    assert_eq!(share.take(14_999, "c", 1, 3, QuotaUse::GoOn), 0);
-    assert_eq!(share.take(15_000, "c", 1, 3, QuotaUse::GoOn), 1);
+    assert_eq!(
+        share.take(14_999, "c", 1, 3, QuotaPurpose::ContinueProgram),
+        0
+    );
+    assert_eq!(
+        share.take(15_000, "c", 1, 3, QuotaPurpose::ContinueProgram),
+        1
+    );
 }
 
 /// Programs that begin and programs that end when a customer sends several times its limit:
 /// each has ten requests, one every 100 ms, and fails with its first refusal.
-fn begun_and_ended(first_use: QuotaUse) -> (usize, usize) {
+fn begun_and_ended(first_use: QuotaPurpose) -> (usize, usize) {
     let mut random = StdRng::seed_from_u64(1);
     let mut share = share_at(0);
     let mut programs: Vec<(u64, usize)> = Vec::new();
@@ -138,11 +160,11 @@
             if *next_ms > now_ms {
                 return true;
             }
-            let quota_use = match requests {
+            let quota_purpose = match requests {
                 0 => first_use,
-                _ => QuotaUse::GoOn,
+                _ => QuotaPurpose::ContinueProgram,
             };
-            if share.take(now_ms, "c", 1, 1, quota_use) == 0 {
+            if share.take(now_ms, "c", 1, 1, quota_purpose) == 0 {
                 return false;
             }
             *next_ms += 100;
@@ -159,11 +181,11 @@
 /// place of many that begin and fail.
 #[test]
 fn programs_that_have_begun_are_finished() {
-    let (begun, ended) = begun_and_ended(QuotaUse::Begin);
+    let (begun, ended) = begun_and_ended(QuotaPurpose::StartProgram);
     assert!(ended * 10 > begun * 8, "{ended} of {begun} ended");
     let possible = 30 * 30 / 10;
     assert!(ended * 10 > possible * 8, "{ended} of {possible} possible");
-    let (begun_alike, ended_alike) = begun_and_ended(QuotaUse::GoOn);
+    let (begun_alike, ended_alike) = begun_and_ended(QuotaPurpose::ContinueProgram);
     assert!(
         ended_alike * 2 < begun_alike,
         "{ended_alike} of {begun_alike} ended"
@@ -185,7 +207,7 @@
             (0..3).map(|_| share_with(0, tolerance)).collect();
         let mut now_ms = 20_000;
         let mut grants: Vec<(u64, usize, u32)> = Vec::new();
-        for (pause_ms, requests, member, quota_use, restart) in asks {
+        for (pause_ms, requests, member, quota_purpose, restart) in asks {
             now_ms += pause_ms;
             if restart == 0 {
                 let mut fresh = RateShare::new(now_ms, tolerance);
@@ -194,9 +216,9 @@
                 fresh.learn(now_ms, 1, "c", LIMIT);
                 shares[member] = fresh;
             }
-            let quota_use = [QuotaUse::GoOn, QuotaUse::Begin, QuotaUse::Advance]
-                [usize::from(quota_use)];
-            let granted = shares[member].take(now_ms, "c", requests, 3, quota_use);
+            let quota_purpose = [QuotaPurpose::ContinueProgram, QuotaPurpose::StartProgram, QuotaPurpose::Prefetch]
+                [usize::from(quota_purpose)];
+            let granted = shares[member].take(now_ms, "c", requests, 3, quota_purpose);
             grants.push((now_ms, member, granted));
         }
         for (index, (start_ms, ..)) in grants.iter().enumerate() {
--- a/crates/spec/src/ledger.rs
+++ b/crates/spec/src/ledger.rs
@@ -1,13 +1,13 @@
 //! Budgets kept by a group of instances with disks: reservations by a quorum, lost disks and
 //! a change of the group.
 //!
-//! The decisions are the product's: `Tally` decides turns, `Group` and `Standing` who votes.
+//! The decisions are the product's: `BudgetCheck` decides turns, `Group` and `MembershipState` who votes.
 
 use std::collections::BTreeSet;
 use std::sync::LazyLock;
 
 use jayreel_ledger::{
-    ChargeView, Decision, Group, Member, Phase, Standing, Tally, turn_digest,
+    BudgetCheck, ChargeView, Decision, Group, Member, MembershipState, Phase, turn_digest,
 };
 
 use crate::quota_search::Model;
@@ -57,7 +57,7 @@
     version: u64,
     /// Newest version for which the facts were complete.
     complete: Option<u64>,
-    standing: Standing,
+    standing: MembershipState,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
@@ -169,8 +169,8 @@
             version: 1,
             complete: group(1).contains(&name(index)).then_some(1),
             standing: match group(1).contains(&name(index)) {
-                true => Standing::Voting,
-                false => Standing::Spare,
+                true => MembershipState::Voting,
+                false => MembershipState::Spare,
             },
         };
         let decider = Decider {
@@ -200,13 +200,13 @@
             true => decider.version <= instance.version,
             false => decider.version == instance.version,
         };
-        if !is_known || (instance.standing == Standing::Spare && !answers_old) {
+        if !is_known || (instance.standing == MembershipState::Spare && !answers_old) {
             return;
         }
         if decider.progress == Progress::Reserving {
             instance.facts.insert(turn);
         }
-        let votes = instance.standing == Standing::Voting || answers_old;
+        let votes = instance.standing == MembershipState::Voting || answers_old;
         if !votes || is_lost {
             return;
         }
@@ -221,7 +221,7 @@
         let skips_reread = self.has(Fault::NoReread);
         let budget_tokens = self.scope.budget_tokens;
         let decider = &mut self.deciders[usize::from(turn)];
-        let mut tally = Tally::new(&turn.to_string());
+        let mut tally = BudgetCheck::new(&turn.to_string());
         let charges: Vec<ChargeView> = decider
             .seen
             .iter()
@@ -253,12 +253,13 @@
             return;
         }
         instance.version = version;
-        let learned = Standing::on_learning(group(version), &name(at), instance.complete);
+        let learned =
+            MembershipState::for_new_group(group(version), &name(at), instance.complete);
         instance.standing = match learned {
-            Standing::CatchingUp(_) if votes_at_once => Standing::Voting,
+            MembershipState::CatchingUp(_) if votes_at_once => MembershipState::Voting,
             standing => standing,
         };
-        if instance.standing == Standing::Voting {
+        if instance.standing == MembershipState::Voting {
             instance.complete = Some(version);
         }
     }
@@ -277,10 +278,10 @@
         }
         let instance = &mut self.instances[to];
         instance.facts.extend(&source.facts);
-        if let Standing::CatchingUp(progress) = &mut instance.standing {
+        if let MembershipState::CatchingUp(progress) = &mut instance.standing {
             progress.record(&name(from));
             if progress.is_complete() {
-                instance.standing = Standing::Voting;
+                instance.standing = MembershipState::Voting;
                 instance.complete = Some(version);
             }
         }
@@ -342,7 +343,7 @@
             if instance.version < self.version {
                 events.push(Event::Learn(at));
             }
-            if let (Standing::CatchingUp(progress), true) =
+            if let (MembershipState::CatchingUp(progress), true) =
                 (&instance.standing, self.may_copy(at))
             {
                 let sources = progress.missing();
