--- a/crates/gateway/src/edge/call.rs
+++ b/crates/gateway/src/edge/call.rs
@@ -20,7 +20,7 @@
 };
 use crate::edge::body::CallBody;
 use crate::edge::exchange::{Answered, Outgoing, SendTimes, send};
-use crate::edge::members::FoundChain;
+use crate::edge::members::ChainLookup;
 use crate::edge::refusal::{Ran, Refusal};
 use crate::edge::stream::{self, BudgetHold, StreamCall};
 use crate::edge::turn_cache::prompt;
@@ -374,16 +374,16 @@
     let no_quorum = Refusal::not_now("turns_unreachable", NO_QUORUM_RETRY_MS);
     let most_turns = if is_newest { FIRST_TURNS } else { MOST_TURNS };
     match edge.members.chain(turn, most_turns).await {
-        Ok(FoundChain::Turns(turns)) => {
+        Ok(ChainLookup::Turns(turns)) => {
             let newest = turns.first().cloned().map(Rc::new);
             let mut cache = edge.turns.borrow_mut();
             turns.into_iter().for_each(|record| cache.insert(record));
             newest.ok_or(no_quorum)
         }
-        Ok(FoundChain::Missing) if is_newest => {
+        Ok(ChainLookup::Missing) if is_newest => {
             Err(Refusal::denied(StatusCode::NOT_FOUND, "no_turn"))
         }
-        Ok(FoundChain::Missing) | Err(_) => Err(no_quorum),
+        Ok(ChainLookup::Missing) | Err(_) => Err(no_quorum),
     }
 }
 
--- a/crates/gateway/src/edge/listen.rs
+++ b/crates/gateway/src/edge/listen.rs
@@ -76,7 +76,7 @@
     tokio::task::spawn_local(serve_ready(Rc::clone(&edge), ready));
     let for_metrics = Rc::clone(&edge);
     tokio::task::spawn_local(serve_text(metrics, move || for_metrics.metrics.text()));
-    wait_for_stop().await?;
+    wait_for_shutdown_signal().await?;
     let began_ms = now_ms();
     log::info!("event=stopping calls={}", edge.metrics.open_calls());
     edge.is_stopping.set(true);
@@ -94,7 +94,7 @@
 
 /// Returns on SIGTERM or SIGINT. SIGHUP is logged: no setting that may change while the
 /// process runs is used after its start.
-pub(crate) async fn wait_for_stop() -> eyre::Result<()> {
+pub(crate) async fn wait_for_shutdown_signal() -> eyre::Result<()> {
     let mut term = signal(SignalKind::terminate()).wrap_err("no handler for SIGTERM")?;
     let mut interrupt =
         signal(SignalKind::interrupt()).wrap_err("no handler for SIGINT")?;
--- a/crates/gateway/src/edge/members.rs
+++ b/crates/gateway/src/edge/members.rs
@@ -60,7 +60,7 @@
 
 /// Whether a turn exists.
 #[derive(Debug)]
-pub enum FoundChain {
+pub enum ChainLookup {
     /// Newest turn first, perhaps not to the beginning.
     Turns(Vec<TurnRecord>),
     /// No member can have it.
@@ -114,7 +114,7 @@
     }
 
     /// Whether a quorum answers, and no member has told of a newer group.
-    pub fn knows_group(&self, now_ms: u64) -> bool {
+    pub fn is_group_current(&self, now_ms: u64) -> bool {
         self.group().version > 0
             && self.contact().has_quorum(now_ms)
             && !self.is_behind.get()
@@ -129,7 +129,7 @@
 
     /// Members, those of the own availability zone first. The order of the others depends
     /// on the key, so that load spreads.
-    pub fn in_order(&self, key: &str) -> Vec<Member> {
+    pub fn nearest_first(&self, key: &str) -> Vec<Member> {
         let mut members = self.group().members.clone();
         members.sort_by_cached_key(|member| {
             let is_remote = member.availability_zone != self.availability_zone;
@@ -334,7 +334,7 @@
     async fn keep_once(self: &Rc<Self>, record: &TurnRecord) -> Result<(), NoQuorum> {
         let group = self.group();
         let key = record.previous.as_deref().unwrap_or(&record.turn);
-        let mut candidates = self.in_order(key).into_iter();
+        let mut candidates = self.nearest_first(key).into_iter();
         let copies = group.copies().max(1);
         let ask_next = |member: Member| {
             let ask = Ask::KeepTurn(record.clone());
@@ -372,7 +372,7 @@
         self: &Rc<Self>,
         turn: &str,
         most_turns: u32,
-    ) -> Result<FoundChain, NoQuorum> {
+    ) -> Result<ChainLookup, NoQuorum> {
         let version = self.group().version;
         match self.chain_once(turn, most_turns).await {
             Err(NoQuorum) if self.group().version > version => {
@@ -386,9 +386,9 @@
         self: &Rc<Self>,
         turn: &str,
         most_turns: u32,
-    ) -> Result<FoundChain, NoQuorum> {
+    ) -> Result<ChainLookup, NoQuorum> {
         let group = self.group();
-        let mut candidates = self.in_order(turn).into_iter();
+        let mut candidates = self.nearest_first(turn).into_iter();
         let ask_next = |member: Member| {
             let ask = Ask::Chain {
                 turn: turn.to_string(),
@@ -407,7 +407,7 @@
             tokio::select! {
                 answer = pending.next() => match answer {
                     Some(Ok(Ok(Answer::Chain(turns)))) if !turns.is_empty() => {
-                        return Ok(FoundChain::Turns(turns));
+                        return Ok(ChainLookup::Turns(turns));
                     }
                     Some(Ok(Ok(Answer::Closed(newer)))) => {
                         self.adopt(newer);
@@ -416,7 +416,7 @@
                     Some(answer) => {
                         without += usize::from(matches!(answer, Ok(Ok(Answer::Chain(_)))));
                         if without >= readable && !group.members.is_empty() {
-                            return Ok(FoundChain::Missing);
+                            return Ok(ChainLookup::Missing);
                         }
                         // One at a time: each that holds the turn sends all of its content.
                         pending.extend(candidates.next().map(&ask_next));
@@ -458,14 +458,14 @@
         &self,
         known_revision: u64,
     ) -> Option<SharedConfiguration> {
-        let member = self.in_order("configuration").into_iter().next()?;
+        let member = self.nearest_first("configuration").into_iter().next()?;
         self.configuration_of(&member, known_revision).await
     }
 
     /// The configuration and its freshness from all members.
     pub async fn configuration(&self, known_revision: u64) -> Vec<SharedConfiguration> {
         let mut found = Vec::new();
-        for member in self.in_order("configuration") {
+        for member in self.nearest_first("configuration") {
             found.extend(self.configuration_of(&member, known_revision).await);
         }
         found
@@ -487,7 +487,7 @@
     /// Tells the first member of the own availability zone that this instance is there. Returns
     /// how many entry instances of the zone are, or none if no member of the zone answers.
     pub async fn zone_presence(&self, instance: &str) -> Option<ZonePresence> {
-        let member = self.in_order("presence").into_iter().next();
+        let member = self.nearest_first("presence").into_iter().next();
         let member =
             member.filter(|one| one.availability_zone == self.availability_zone)?;
         let ask = Ask::Presence {
@@ -502,7 +502,10 @@
 
     /// Changes of endpoints from one of the nearest members.
     pub async fn endpoints(&self, known: EndpointCursor) -> Option<SharedEndpoints> {
-        let nearest = self.in_order("endpoints").into_iter().take(SHARING_MEMBERS);
+        let nearest = self
+            .nearest_first("endpoints")
+            .into_iter()
+            .take(SHARING_MEMBERS);
         for member in nearest {
             let version = self.group().version;
             let asked =
--- a/crates/gateway/src/edge/mod.rs
+++ b/crates/gateway/src/edge/mod.rs
@@ -40,7 +40,7 @@
 use crate::settings::NodeSettings;
 
 pub use listen::run;
-pub use members::{FoundChain, Members, NoQuorum};
+pub use members::{ChainLookup, Members, NoQuorum};
 
 /// Programs whose last endpoint is remembered. A program lasts a few seconds.
 const MOST_AFFINITIES: usize = 4_096;
--- a/crates/gateway/src/edge/quota.rs
+++ b/crates/gateway/src/edge/quota.rs
@@ -65,7 +65,7 @@
         version: u64,
     ) -> Result<(), Refusal> {
         let mut has_answer = false;
-        for member in self.members.in_order(&want.customer) {
+        for member in self.members.nearest_first(&want.customer) {
             let wants = vec![want.clone()];
             let granted = self.members.take_quota(&member, version, wants).await;
             let count = granted.and_then(|granted| granted.first().copied());
@@ -103,7 +103,7 @@
                 })
             })
             .collect();
-        for member in self.members.in_order("") {
+        for member in self.members.nearest_first("") {
             wants.retain(|want| want.requests > 0 && want.limit.rate_per_s > 0.0);
             if wants.is_empty() {
                 return;
--- a/crates/gateway/src/edge/stream.rs
+++ b/crates/gateway/src/edge/stream.rs
@@ -182,7 +182,7 @@
     }
 
     /// The events that follow the last one, up to one that is out of order.
-    fn in_order(&self, events: Vec<StreamEvent>) -> (Vec<StreamEvent>, bool) {
+    fn events_in_order(&self, events: Vec<StreamEvent>) -> (Vec<StreamEvent>, bool) {
         let mut last = self.last_event_id;
         let total = events.len();
         let valid: Vec<StreamEvent> = events
@@ -264,7 +264,7 @@
     loop {
         let broken = match next {
             Next::Events(events) => {
-                let (events, is_whole) = call.in_order(events);
+                let (events, is_whole) = call.events_in_order(events);
                 if !forward(&mut call, events, &sender).await {
                     return note_gone(&call);
                 }
--- a/crates/gateway/src/edge/sync.rs
+++ b/crates/gateway/src/edge/sync.rs
@@ -266,7 +266,7 @@
 /// is read only while the group is not known, does not answer, or is known to have changed.
 async fn read_group(edge: Rc<Edge>) {
     loop {
-        if edge.members.knows_group(now_ms()) {
+        if edge.members.is_group_current(now_ms()) {
             pause(GROUP_INTERVAL_MS).await;
             continue;
         }
--- a/crates/gateway/src/storage/serve.rs
+++ b/crates/gateway/src/storage/serve.rs
@@ -13,7 +13,7 @@
 
 use crate::clock::now_ms;
 use crate::directory::MetadataStore;
-use crate::edge::listen::{accept, listen, serve_text, wait_for_stop};
+use crate::edge::listen::{accept, listen, serve_text, wait_for_shutdown_signal};
 use crate::link::{Links, accept as split, decode_request, write_messages};
 use crate::settings::NodeSettings;
 use crate::storage::care;
@@ -85,7 +85,7 @@
         }
     });
     tokio::select! {
-        stopped = wait_for_stop() => stopped?,
+        stopped = wait_for_shutdown_signal() => stopped?,
         _ = disk_lost => eyre::bail!("the disk failed"),
     }
     log::info!("event=stopped");
--- a/crates/gateway/tests/members.rs
+++ b/crates/gateway/tests/members.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use futures::FutureExt;
-use jayreel_gateway::edge::{FoundChain, Members};
+use jayreel_gateway::edge::{ChainLookup, Members};
 use jayreel_gateway::storage::{Event, Node};
 use jayreel_gateway::{AnswerFuture, LinkError, MemberLinks, now_ms};
 use jayreel_ledger::{Answer, Ask, Decision, Group, Member, TurnRecord};
@@ -176,7 +176,7 @@
             let members = interrupted_entry(&cluster).await;
             let found = members.chain("turn", 10).await;
             assert!(
-                matches!(&found, Ok(FoundChain::Turns(turns)) if turns.len() == 1),
+                matches!(&found, Ok(ChainLookup::Turns(turns)) if turns.len() == 1),
                 "{found:?}"
             );
         })
@@ -234,7 +234,7 @@
         .run_until(async {
             let members = entry(&cluster);
             let found = members.chain("turn", 10).await;
-            assert!(matches!(found, Ok(FoundChain::Missing)), "{found:?}");
+            assert!(matches!(found, Ok(ChainLookup::Missing)), "{found:?}");
             assert_eq!(members.group().version, 3);
         })
         .await;
@@ -248,11 +248,17 @@
     LocalSet::new()
         .run_until(async {
             let members = entry(&cluster);
-            assert!(!members.knows_group(now_ms()), "nobody has answered yet");
+            assert!(
+                !members.is_group_current(now_ms()),
+                "nobody has answered yet"
+            );
             members.probe().await;
-            assert!(!members.knows_group(now_ms()), "members know a newer one");
+            assert!(
+                !members.is_group_current(now_ms()),
+                "members know a newer one"
+            );
             members.adopt(last_group());
-            assert!(members.knows_group(now_ms()));
+            assert!(members.is_group_current(now_ms()));
         })
         .await;
 }
@@ -272,14 +278,14 @@
             let members = entry(&cluster);
             members.adopt(last_group());
             tokio::task::yield_now().await;
-            let asked = members.in_order("turn 7");
+            let asked = members.nearest_first("turn 7");
             let holders = asked[1..4].iter().map(|member| member.name.as_str());
             let holders: Vec<&str> = holders.collect();
             turns.for_each(|turn| cluster.keep(&holders, 3, &turn));
             cluster.sent_turns.set(0);
             let found = members.chain("turn 7", 2).await;
             assert!(
-                matches!(&found, Ok(FoundChain::Turns(turns)) if turns.len() == 2),
+                matches!(&found, Ok(ChainLookup::Turns(turns)) if turns.len() == 2),
                 "{found:?}"
             );
             assert_eq!(cluster.sent_turns.get(), 2);
