--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -10,7 +10,7 @@
 };
 use jayreel_quota::{Quota, QuotaSettings};
 use jayreel_scheduler::event::CallArrived;
-use jayreel_scheduler::program_step::{ProgramCall, ProgramChanges};
+use jayreel_scheduler::program_admission::{ProgramCall, ProgramChanges};
 
 use crate::caretaker::Caretaker;
 use crate::event::{FleetEffect, FleetEvent};
--- a/crates/fleet/src/program_step.rs
+++ b/crates/fleet/src/program_step.rs
@@ -7,9 +7,9 @@
 };
 use jayreel_scheduler::effect::Reply;
 use jayreel_scheduler::event::{CallArrived, CallOperation};
-use jayreel_scheduler::program_step::{
-    CallOutcome, ProgramCall, ProgramChanges, ProgramDecision, ProgramGrant,
-    ProgramIdentity, ProgramStep,
+use jayreel_scheduler::program_admission::{
+    CallOutcome, ProgramAdmission, ProgramCall, ProgramChanges, ProgramDecision,
+    ProgramGrant, ProgramIdentity,
 };
 
 use crate::fleet::{Fleet, HeldCall, PendingCall};
@@ -18,7 +18,7 @@
 /// step runs on every event.
 const EXPIRY_INTERVAL_MS: u64 = 250;
 
-impl ProgramStep for Fleet {
+impl ProgramAdmission for Fleet {
     fn profile(
         &self,
         arrived: &CallArrived,
--- a/crates/fleet/src/quota_step.rs
+++ b/crates/fleet/src/quota_step.rs
@@ -2,7 +2,7 @@
 
 use jayreel_model::{Configuration, Incarnation};
 use jayreel_quota::{LoanReturn, Take};
-use jayreel_scheduler::quota_step::{QuotaDecision, QuotaStep};
+use jayreel_scheduler::quota_admission::{QuotaAdmission, QuotaDecision};
 
 use crate::event::{FleetEffect, PeerMessage};
 use crate::fleet::Fleet;
@@ -10,14 +10,14 @@
 /// Time after which a caller may ask again if the bucket cannot tell.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-impl QuotaStep for Fleet {
+impl QuotaAdmission for Fleet {
     fn configure(&mut self, now_ms: u64, configuration: &Configuration) {
         self.quota.set_customers(now_ms, &configuration.customers);
     }
 
     fn take(&mut self, now_ms: u64, customer: &str) -> QuotaDecision {
         let Some(key) = self.quota.ledger(customer) else {
-            return QuotaDecision::Short {
+            return QuotaDecision::Exhausted {
                 retry_after_ms: RETRY_AFTER_MS,
             };
         };
@@ -26,7 +26,7 @@
             Take::Short { wait_ms } => {
                 self.ask_for_loan(now_ms, customer);
                 let retry_after_ms = wait_ms.unwrap_or(RETRY_AFTER_MS).max(1);
-                QuotaDecision::Short { retry_after_ms }
+                QuotaDecision::Exhausted { retry_after_ms }
             }
         }
     }
--- a/crates/fleet/src/reducer.rs
+++ b/crates/fleet/src/reducer.rs
@@ -5,10 +5,10 @@
 
 use jayreel_model::{Configuration, EngineOrder, Refusal, RequestId};
 use jayreel_scheduler::event::CallArrived;
-use jayreel_scheduler::program_step::{
-    CallOutcome, ProgramCall, ProgramChanges, ProgramDecision, ProgramStep,
+use jayreel_scheduler::program_admission::{
+    CallOutcome, ProgramAdmission, ProgramCall, ProgramChanges, ProgramDecision,
 };
-use jayreel_scheduler::quota_step::{QuotaDecision, QuotaStep};
+use jayreel_scheduler::quota_admission::{QuotaAdmission, QuotaDecision};
 use jayreel_scheduler::{Effect, Event, Scheduler, SchedulerBuilder, SchedulerSettings};
 
 use crate::event::{FleetEffect, FleetEvent};
@@ -78,7 +78,7 @@
                 let brings_decisions = event.brings_decisions();
                 self.fleet.lock().apply(now_ms, event);
                 if brings_decisions {
-                    effects.extend(self.scheduler.apply(now_ms, Event::StepsChanged));
+                    effects.extend(self.scheduler.apply(now_ms, Event::AdmissionChanged));
                 }
             }
         }
@@ -180,7 +180,7 @@
     }
 }
 
-impl ProgramStep for SharedFleet {
+impl ProgramAdmission for SharedFleet {
     fn profile(
         &self,
         arrived: &CallArrived,
@@ -202,7 +202,7 @@
     }
 }
 
-impl QuotaStep for SharedFleet {
+impl QuotaAdmission for SharedFleet {
     fn configure(&mut self, now_ms: u64, configuration: &Configuration) {
         self.lock().configure(now_ms, configuration);
     }
--- a/crates/fleet/src/takeover.rs
+++ b/crates/fleet/src/takeover.rs
@@ -2,7 +2,7 @@
 
 use jayreel_model::{Incarnation, RequestId};
 use jayreel_programs::{BudgetRecord, Handover, TakeoverRecord, ownership};
-use jayreel_scheduler::program_step::ProgramDecision;
+use jayreel_scheduler::program_admission::ProgramDecision;
 
 use crate::event::{FleetEffect, PeerMessage};
 use crate::fleet::{Fleet, HeldCall, PendingCall};
--- a/crates/fleet/tests/home.rs
+++ b/crates/fleet/tests/home.rs
@@ -4,7 +4,7 @@
 use jayreel_model::{Configuration, Customer, Incarnation};
 use jayreel_programs::TokenKey;
 use jayreel_quota::home_weights::HomeRecord;
-use jayreel_scheduler::quota_step::QuotaStep;
+use jayreel_scheduler::quota_admission::QuotaAdmission;
 
 /// Loan term, dispatch deadline and clock margin.
 const LENT_MS: u64 = 6_500;
--- a/crates/fleet/tests/pair/node.rs
+++ b/crates/fleet/tests/pair/node.rs
@@ -6,7 +6,7 @@
 use jayreel_fleet::{Fleet, FleetEffect, FleetEvent, FleetSettings, Registered};
 use jayreel_model::{Configuration, Customer, Incarnation};
 use jayreel_programs::TokenKey;
-use jayreel_scheduler::quota_step::{QuotaDecision, QuotaStep};
+use jayreel_scheduler::quota_admission::{QuotaAdmission, QuotaDecision};
 
 use super::store::Store;
 use super::{Plan, STEP_MS};
--- a/crates/scheduler/src/arrival.rs
+++ b/crates/scheduler/src/arrival.rs
@@ -8,7 +8,7 @@
 use crate::event::{CallArrived, CallOperation};
 use crate::group::GroupKey;
 use crate::policy::AdmissionCall;
-use crate::program_step::{ProgramCall, ProgramDecision, ProgramGrant};
+use crate::program_admission::{ProgramCall, ProgramDecision, ProgramGrant};
 use crate::scheduler::{Scheduler, refuse};
 
 /// Bytes of a token of usual text. The prompt is known by its bytes only.
--- a/crates/scheduler/src/event.rs
+++ b/crates/scheduler/src/event.rs
@@ -98,7 +98,7 @@
     },
     /// The program step or the quota step learned something by itself. Takes up their
     /// decisions, without the searches of [`Event::Tick`].
-    StepsChanged,
+    AdmissionChanged,
     /// The store was reached, by this instance or by a peer that told so. Without this
     /// event all keys are refused after the offline grace period.
     StoreContact {
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -7,8 +7,8 @@
 pub mod effect;
 pub mod event;
 pub mod policy;
-pub mod program_step;
-pub mod quota_step;
+pub mod program_admission;
+pub mod quota_admission;
 mod rate;
 pub mod settings;
 
--- a/crates/scheduler/src/outcome.rs
+++ b/crates/scheduler/src/outcome.rs
@@ -7,7 +7,7 @@
 use crate::effect::Effect;
 use crate::event::TokenUsage;
 use crate::health::Failure;
-use crate::program_step::CallOutcome;
+use crate::program_admission::CallOutcome;
 use crate::scheduler::{Scheduler, refuse};
 
 /// Most attempts of one call.
--- a/crates/scheduler/src/program_step.rs
+++ b/crates/scheduler/src/program_admission.rs
@@ -28,10 +28,10 @@
 /// The answer of the program step to a call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ProgramDecision {
-    /// The call may run. [`ProgramStep::end`] follows exactly once.
+    /// The call may run. [`ProgramAdmission::end`] follows exactly once.
     Proceed(ProgramGrant),
     /// An earlier call of the program has not ended. A decision follows in
-    /// [`ProgramChanges::decided`] unless [`ProgramStep::end`] is called before.
+    /// [`ProgramChanges::decided`] unless [`ProgramAdmission::end`] is called before.
     Wait,
     /// Another instance owns the program.
     Forward {
@@ -89,7 +89,7 @@
 }
 
 /// The program step.
-pub trait ProgramStep: Debug + Send {
+pub trait ProgramAdmission: Debug + Send {
     /// The profile that the call's program token names. `None` if the call names no
     /// program.
     ///
@@ -203,7 +203,7 @@
     }
 }
 
-impl ProgramStep for LocalPrograms {
+impl ProgramAdmission for LocalPrograms {
     fn profile(
         &self,
         arrived: &CallArrived,
--- a/crates/scheduler/src/program_cache.rs
+++ b/crates/scheduler/src/program_cache.rs
@@ -8,7 +8,7 @@
 
 use crate::endpoint::EndpointKey;
 use crate::policy::{CustomerId, RetentionPolicy};
-use crate::program_step::ProgramIdentity;
+use crate::program_admission::ProgramIdentity;
 
 new_key_type! {
     /// Key of a program in its arena.
--- a/crates/scheduler/src/quota_step.rs
+++ b/crates/scheduler/src/quota_admission.rs
@@ -7,11 +7,11 @@
 /// The answer of the quota step to a call that is about to be dispatched.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QuotaDecision {
-    /// One request was taken from the customer's bucket. [`QuotaStep::sent`] or
-    /// [`QuotaStep::give_back`] follows.
+    /// One request was taken from the customer's bucket. [`QuotaAdmission::sent`] or
+    /// [`QuotaAdmission::give_back`] follows.
     Taken,
     /// The customer's share at this instance is used up.
-    Short {
+    Exhausted {
         /// Time after which a call can succeed.
         retry_after_ms: u64,
     },
@@ -20,7 +20,7 @@
 /// The quota step. A request is taken when the decision to send a call is made, not when
 /// the call arrives: otherwise calls that waited for an endpoint could be sent together
 /// and exceed the customer's burst.
-pub trait QuotaStep: Debug + Send {
+pub trait QuotaAdmission: Debug + Send {
     /// Takes over the customers of a configuration.
     fn configure(&mut self, now_ms: u64, configuration: &Configuration);
 
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UnlimitedQuota;
 
-impl QuotaStep for UnlimitedQuota {
+impl QuotaAdmission for UnlimitedQuota {
     fn configure(&mut self, _now_ms: u64, _configuration: &Configuration) {}
 
     fn take(&mut self, _now_ms: u64, _customer: &str) -> QuotaDecision {
--- a/crates/scheduler/src/rate.rs
+++ b/crates/scheduler/src/rate.rs
@@ -8,7 +8,7 @@
 use crate::effect::Effect;
 use crate::group::GroupKey;
 use crate::policy::CustomerId;
-use crate::quota_step::QuotaDecision;
+use crate::quota_admission::QuotaDecision;
 use crate::scheduler::Scheduler;
 
 impl Scheduler {
@@ -33,7 +33,7 @@
                 }
                 true
             }
-            Some(QuotaDecision::Short { retry_after_ms }) => {
+            Some(QuotaDecision::Exhausted { retry_after_ms }) => {
                 self.mark_short(now_ms, group, customer, retry_after_ms);
                 false
             }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -16,9 +16,9 @@
 use crate::fleet::Fleet;
 use crate::group::{Group, GroupKey};
 use crate::policy::{self, AdmissionPolicy, OrderPolicy, RetentionPolicy};
+use crate::program_admission::{LocalPrograms, ProgramAdmission};
 use crate::program_cache::ProgramCache;
-use crate::program_step::{LocalPrograms, ProgramStep};
-use crate::quota_step::{QuotaStep, UnlimitedQuota};
+use crate::quota_admission::{QuotaAdmission, UnlimitedQuota};
 use crate::release::PendingReleases;
 use crate::retry::RetryBudget;
 use crate::settings::SchedulerSettings;
@@ -27,8 +27,8 @@
 #[derive(Debug)]
 pub struct SchedulerBuilder {
     settings: SchedulerSettings,
-    programs: Box<dyn ProgramStep>,
-    quota: Box<dyn QuotaStep>,
+    programs: Box<dyn ProgramAdmission>,
+    quota: Box<dyn QuotaAdmission>,
 }
 
 impl SchedulerBuilder {
@@ -43,13 +43,13 @@
     }
 
     /// Sets the program step.
-    pub fn programs(mut self, programs: Box<dyn ProgramStep>) -> SchedulerBuilder {
+    pub fn programs(mut self, programs: Box<dyn ProgramAdmission>) -> SchedulerBuilder {
         self.programs = programs;
         self
     }
 
     /// Sets the quota step.
-    pub fn quota(mut self, quota: Box<dyn QuotaStep>) -> SchedulerBuilder {
+    pub fn quota(mut self, quota: Box<dyn QuotaAdmission>) -> SchedulerBuilder {
         self.quota = quota;
         self
     }
@@ -117,8 +117,8 @@
     pub(crate) order: Box<dyn OrderPolicy>,
     pub(crate) retention: Box<dyn RetentionPolicy>,
     pub(crate) admission: Box<dyn AdmissionPolicy>,
-    pub(crate) programs: Box<dyn ProgramStep>,
-    pub(crate) quota: Box<dyn QuotaStep>,
+    pub(crate) programs: Box<dyn ProgramAdmission>,
+    pub(crate) quota: Box<dyn QuotaAdmission>,
     draining: bool,
     /// Whether `DrainComplete` was reported since the last call.
     drain_reported: bool,
--- a/crates/scheduler/tests/scheduler/steps.rs
+++ b/crates/scheduler/tests/scheduler/steps.rs
@@ -4,7 +4,7 @@
 
 use jayreel_model::{Configuration, Ran, RefusalReason};
 use jayreel_scheduler::event::CallArrived;
-use jayreel_scheduler::quota_step::{QuotaDecision, QuotaStep};
+use jayreel_scheduler::quota_admission::{QuotaAdmission, QuotaDecision};
 use jayreel_scheduler::{Effect, PolicySettings};
 use test_case::test_case;
 
@@ -26,13 +26,13 @@
 #[derive(Clone, Debug, Default)]
 struct LoggedQuota(Arc<Mutex<QuotaLog>>);
 
-impl QuotaStep for LoggedQuota {
+impl QuotaAdmission for LoggedQuota {
     fn configure(&mut self, _now_ms: u64, _configuration: &Configuration) {}
 
     fn take(&mut self, _now_ms: u64, _customer: &str) -> QuotaDecision {
         let mut log = self.0.lock().unwrap();
         if log.short && log.trickle == 0 {
-            return QuotaDecision::Short {
+            return QuotaDecision::Exhausted {
                 retry_after_ms: 1_500,
             };
         }
@@ -204,12 +204,12 @@
 fn customer_without_quota_does_not_block_others() {
     #[derive(Debug)]
     struct OnlyB;
-    impl QuotaStep for OnlyB {
+    impl QuotaAdmission for OnlyB {
         fn configure(&mut self, _now_ms: u64, _configuration: &Configuration) {}
         fn take(&mut self, _now_ms: u64, customer: &str) -> QuotaDecision {
             match customer {
                 "b" => QuotaDecision::Taken,
-                _ => QuotaDecision::Short { retry_after_ms: 1 },
+                _ => QuotaDecision::Exhausted { retry_after_ms: 1 },
             }
         }
         fn sent(&mut self, _now_ms: u64, _customer: &str, _taken_at_ms: u64) {}
--- a/crates/scheduler/tests/scheduler/world.rs
+++ b/crates/scheduler/tests/scheduler/world.rs
@@ -8,8 +8,8 @@
 };
 use jayreel_scheduler::effect::{Dispatch, Reply};
 use jayreel_scheduler::event::{CallArrived, CallOperation, LoadReport, TokenUsage};
-use jayreel_scheduler::program_step::LocalPrograms;
-use jayreel_scheduler::quota_step::{QuotaStep, UnlimitedQuota};
+use jayreel_scheduler::program_admission::LocalPrograms;
+use jayreel_scheduler::quota_admission::{QuotaAdmission, UnlimitedQuota};
 use jayreel_scheduler::{
     Effect, Event, PolicySettings, Scheduler, SchedulerBuilder, SchedulerSettings,
 };
@@ -128,7 +128,7 @@
     pub fn with_quota(
         configuration: Configuration,
         policies: PolicySettings,
-        quota: Box<dyn QuotaStep>,
+        quota: Box<dyn QuotaAdmission>,
     ) -> World {
         let incarnation = Incarnation {
             instance: "i1".to_string(),
