--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -281,7 +281,7 @@
     }
 
     /// The endpoint answered that it failed.
-    pub fn answer_with_error(&mut self, now_ms: u64, key: EndpointKey) {
+    pub fn record_error_response(&mut self, now_ms: u64, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.note_answer(now_ms, true);
         }
--- a/crates/gateway/src/contact.rs
+++ b/crates/gateway/src/contact.rs
@@ -41,13 +41,13 @@
 
 /// The last answers of the group.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Contact {
+pub struct GroupContact {
     quorum_ms: Option<u64>,
     member_ms: Option<u64>,
     store_ms: Option<u64>,
 }
 
-impl Contact {
+impl GroupContact {
     /// A quorum answered.
     pub fn note_quorum(&mut self, now_ms: u64) {
         self.quorum_ms = self.quorum_ms.max(Some(now_ms));
@@ -94,7 +94,7 @@
     }
 
     /// Whether the balancer sends new connections elsewhere by now.
-    pub fn is_left_by_balancer(&self, now_ms: u64) -> bool {
+    pub fn is_out_of_rotation(&self, now_ms: u64) -> bool {
         let silence_ms = self.silence_ms(now_ms);
         silence_ms.is_some_and(|silence_ms| silence_ms >= BALANCER_MS)
     }
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -102,7 +102,7 @@
 
 /// A record of the instances' own.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct OwnRecord {
+pub struct InternalRecord {
     /// Name of the record.
     pub name: String,
     /// Its content.
@@ -166,16 +166,16 @@
     ) -> StoreFuture<'_, ()>;
 
     /// The instances' own records whose names begin with `prefix`. May be seconds old if
-    /// `is_stale_allowed`, which costs less.
-    fn own_records(
+    /// `allow_stale`, which costs less.
+    fn internal_records(
         &self,
         prefix: &'static str,
-        is_stale_allowed: bool,
-    ) -> StoreFuture<'_, Vec<OwnRecord>>;
+        allow_stale: bool,
+    ) -> StoreFuture<'_, Vec<InternalRecord>>;
 
     /// Writes a record of the instances' own. `expected_revision` is its revision before; 0
     /// if it must not exist, none for an unconditional write.
-    fn write_own_record(
+    fn write_internal_record(
         &self,
         name: String,
         content: Bytes,
--- a/crates/gateway/src/edge/call.rs
+++ b/crates/gateway/src/edge/call.rs
@@ -26,7 +26,7 @@
 use crate::edge::turn_cache::prompt;
 use crate::edge::{CallSummary, Edge, Unanswered};
 use crate::protocol::CallHead;
-use crate::quota_stock::StockToken;
+use crate::quota_buffer::BufferedToken;
 use crate::retry::{Attempt, Outcome, RetryPolicy, Step};
 use crate::urgency::engine_priority;
 
@@ -74,7 +74,7 @@
     /// Time from the arrival within which it must be answered, in milliseconds.
     pub limit_ms: u64,
     /// The token of its customer's rate, if it was held here.
-    pub token: Option<StockToken>,
+    pub token: Option<BufferedToken>,
     pub event_tokens: u32,
     /// The endpoint that it was sent to last, for the log.
     pub endpoint: Rc<RefCell<Option<String>>>,
@@ -91,7 +91,11 @@
         let target_ms = self.route.target_ms;
         SendTimes {
             left_ms,
-            patience_ms: attempt.patience_ms(self.policy(), target_ms, left_ms),
+            response_timeout_ms: attempt.response_timeout_ms(
+                self.policy(),
+                target_ms,
+                left_ms,
+            ),
         }
     }
 
--- a/crates/gateway/src/edge/exchange.rs
+++ b/crates/gateway/src/edge/exchange.rs
@@ -13,7 +13,7 @@
 use crate::clock::{now_ms, pause};
 use crate::edge::Edge;
 use crate::edge::pool::idle_ms;
-use crate::http_link::{HttpLink, SendError};
+use crate::http_connection::{HttpConnection, SendError};
 use crate::protocol::{EndpointHeaders, EndpointReply};
 use crate::retry::Outcome;
 
@@ -48,7 +48,7 @@
     /// Until the caller's time is over. The endpoint is told this.
     pub left_ms: u64,
     /// Until the head of an answer must be there.
-    pub patience_ms: u64,
+    pub response_timeout_ms: u64,
 }
 
 /// A connection that carries a request. Dropped before its answer is complete, it closes.
@@ -56,7 +56,7 @@
 pub(crate) struct Lease {
     edge: Rc<Edge>,
     key: EndpointKey,
-    link: Option<HttpLink>,
+    link: Option<HttpConnection>,
     idle_ms: u64,
     /// Idle connections to the endpoint that are kept.
     most_idle: usize,
@@ -110,7 +110,7 @@
         idle_ms: 0,
         most_idle: outgoing.most_idle,
     };
-    let timeout = Duration::from_millis(times.patience_ms);
+    let timeout = Duration::from_millis(times.response_timeout_ms);
     let exchange = exchange(edge, pick, outgoing, last_event_id, times.left_ms);
     let sent = tokio::time::timeout(timeout, exchange).await;
     let response = match sent {
@@ -144,7 +144,7 @@
     outgoing: &Outgoing,
     last_event_id: Option<u64>,
     left_ms: u64,
-) -> Result<(HttpLink, Response<Incoming>), SendError> {
+) -> Result<(HttpConnection, Response<Incoming>), SendError> {
     let began_ms = now_ms();
     let request = || {
         let left_ms = left_ms.saturating_sub(now_ms() - began_ms);
@@ -158,7 +158,7 @@
             response => return response.map(|response| (link, response)),
         }
     }
-    let connected = HttpLink::connect(pick.address, CONNECT_TIMEOUT_MS).await;
+    let connected = HttpConnection::connect(pick.address, CONNECT_TIMEOUT_MS).await;
     let mut link = connected.map_err(|error| SendError::NotSent(error.to_string()))?;
     let response = link.send(request()).await?;
     Ok((link, response))
@@ -176,7 +176,8 @@
             if !edge.balancer.borrow().contains(pick.key) {
                 return;
             }
-            let connected = HttpLink::connect(pick.address, CONNECT_TIMEOUT_MS).await;
+            let connected =
+                HttpConnection::connect(pick.address, CONNECT_TIMEOUT_MS).await;
             if let Ok(link) = connected {
                 log::info!("event=endpoint_reachable endpoint={}", pick.id);
                 edge.pool
--- a/crates/gateway/src/edge/listen.rs
+++ b/crates/gateway/src/edge/listen.rs
@@ -21,7 +21,7 @@
 use crate::clock::{now_ms, pause};
 use crate::directory::MetadataStore;
 use crate::edge::{Edge, call, sync};
-use crate::http_link::watch_caller;
+use crate::http_connection::set_caller_timeouts;
 use crate::protocol::CallProtocol;
 use crate::settings::NodeSettings;
 
@@ -123,7 +123,7 @@
 pub(crate) async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => match watch_caller(&stream) {
+            Ok((stream, _)) => match set_caller_timeouts(&stream) {
                 Ok(()) => return stream,
                 Err(error) => log::warn!("event=socket_option_failed reason={error}"),
             },
@@ -161,7 +161,7 @@
             let _open = edge.metrics.open_call();
             let mut response = call::serve(Rc::clone(&edge), request).await;
             // A new connection leads to an instance that will go on serving.
-            if edge.members.contact().is_left_by_balancer(now_ms()) {
+            if edge.members.contact().is_out_of_rotation(now_ms()) {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(CONNECTION, close);
             }
--- a/crates/gateway/src/edge/members.rs
+++ b/crates/gateway/src/edge/members.rs
@@ -13,9 +13,9 @@
 use jayreel_membership::rank;
 
 use crate::clock::{now_ms, pause};
-use crate::contact::Contact;
-use crate::link::{LinkError, MemberLinks};
-use crate::membership::DECISION_LIMIT_MS;
+use crate::contact::GroupContact;
+use crate::link::{LinkError, MemberClient};
+use crate::membership::DECISION_TIMEOUT_MS;
 
 /// Time for an answer, in milliseconds: several syncs of a disk, and the way there.
 const ASK_TIMEOUT_MS: u64 = 250;
@@ -52,7 +52,7 @@
 /// A decision that took too long may rest on the answer of a member that has lost its disk
 /// since and votes again without knowing it.
 fn in_time(began_ms: u64, decision: Decision) -> Result<Decision, NoQuorum> {
-    match now_ms() < began_ms + DECISION_LIMIT_MS {
+    match now_ms() < began_ms + DECISION_TIMEOUT_MS {
         true => Ok(decision),
         false => Err(NoQuorum),
     }
@@ -71,8 +71,8 @@
 pub struct Members {
     availability_zone: String,
     group: RefCell<Rc<Group>>,
-    links: Box<dyn MemberLinks>,
-    contact: RefCell<Contact>,
+    links: Box<dyn MemberClient>,
+    contact: RefCell<GroupContact>,
     /// A member knows a newer group than this instance.
     is_behind: Cell<bool>,
 }
@@ -80,7 +80,7 @@
 impl Members {
     /// The members as an instance of this availability zone sees them, before it knows a
     /// group.
-    pub fn new(availability_zone: &str, links: Box<dyn MemberLinks>) -> Members {
+    pub fn new(availability_zone: &str, links: Box<dyn MemberClient>) -> Members {
         Members {
             availability_zone: availability_zone.to_string(),
             group: RefCell::default(),
@@ -155,7 +155,7 @@
     }
 
     /// The contact with the group at present.
-    pub fn contact(&self) -> Contact {
+    pub fn contact(&self) -> GroupContact {
         *self.contact.borrow()
     }
 
--- a/crates/gateway/src/edge/mod.rs
+++ b/crates/gateway/src/edge/mod.rs
@@ -31,11 +31,11 @@
 use crate::edge::refusal::Refusal;
 use crate::edge::turn_cache::TurnCache;
 use crate::freshness::Freshness;
-use crate::link::Links;
+use crate::link::LinkPool;
 use crate::log_queue::LineBudget;
 use crate::metrics::Metrics;
 use crate::protocol::{CallHead, CallProtocol};
-use crate::quota_stock::QuotaStock;
+use crate::quota_buffer::QuotaBuffer;
 use crate::retry::Outcome;
 use crate::settings::NodeSettings;
 
@@ -63,7 +63,7 @@
     pub members: Rc<Members>,
     /// When the store may be called again after it failed.
     store_backoff: RefCell<Backoff>,
-    quota: RefCell<QuotaStock>,
+    quota: RefCell<QuotaBuffer>,
     /// Customers that no member has tokens for, until this time.
     over_rate_until_ms: RefCell<HashMap<String, u64>>,
     pub turns: RefCell<TurnCache>,
@@ -101,7 +101,7 @@
             freshness: RefCell::default(),
             balancer: RefCell::new(Balancer::new(&zone)),
             pool: RefCell::default(),
-            members: Rc::new(Members::new(&zone, Box::<Links>::default())),
+            members: Rc::new(Members::new(&zone, Box::<LinkPool>::default())),
             store_backoff: RefCell::default(),
             quota: RefCell::default(),
             over_rate_until_ms: RefCell::default(),
@@ -146,7 +146,7 @@
     ) {
         let mut balancer = self.balancer.borrow_mut();
         match status.is_server_error() {
-            true => balancer.answer_with_error(now_ms(), pick.key),
+            true => balancer.record_error_response(now_ms(), pick.key),
             false => balancer.succeed(now_ms(), pick.key, elapsed_ms),
         }
     }
@@ -215,7 +215,7 @@
 
     /// Says how many answers were left out of the log since the last time.
     fn sum_up_log(&self) {
-        let count = self.answer_log.borrow_mut().sum_up();
+        let count = self.answer_log.borrow_mut().take_omitted();
         if count > 0 {
             log::info!("event=answered_summed count={count}");
         }
--- a/crates/gateway/src/edge/pool.rs
+++ b/crates/gateway/src/edge/pool.rs
@@ -5,7 +5,7 @@
 use hyper::HeaderMap;
 
 use crate::balance::EndpointKey;
-use crate::http_link::HttpLink;
+use crate::http_connection::HttpConnection;
 
 /// How long an idle connection is used if the endpoint does not tell, in milliseconds.
 const DEFAULT_IDLE_MS: u64 = 4_000;
@@ -16,7 +16,7 @@
 
 #[derive(Debug)]
 struct Idle {
-    link: HttpLink,
+    link: HttpConnection,
     usable_until_ms: u64,
 }
 
@@ -28,7 +28,11 @@
 
 impl Pool {
     /// The connection that was used last and can be used now.
-    pub(crate) fn take(&mut self, now_ms: u64, key: EndpointKey) -> Option<HttpLink> {
+    pub(crate) fn take(
+        &mut self,
+        now_ms: u64,
+        key: EndpointKey,
+    ) -> Option<HttpConnection> {
         let idle = self.idle.get_mut(&key)?;
         while let Some(last) = idle.pop() {
             if last.usable_until_ms > now_ms && last.link.is_ready() {
@@ -43,7 +47,7 @@
         &mut self,
         now_ms: u64,
         key: EndpointKey,
-        link: HttpLink,
+        link: HttpConnection,
         idle_ms: u64,
         most_idle: usize,
     ) {
--- a/crates/gateway/src/edge/quota.rs
+++ b/crates/gateway/src/edge/quota.rs
@@ -7,7 +7,7 @@
 use crate::clock::now_ms;
 use crate::edge::Edge;
 use crate::edge::refusal::Refusal;
-use crate::quota_stock::StockToken;
+use crate::quota_buffer::BufferedToken;
 
 /// Pause between two requests for tokens in advance, in milliseconds.
 pub(crate) const REFILL_INTERVAL_MS: u64 = 150;
@@ -35,7 +35,7 @@
         self: &Rc<Self>,
         want: QuotaWant,
         version: u64,
-    ) -> Result<Option<StockToken>, Refusal> {
+    ) -> Result<Option<BufferedToken>, Refusal> {
         let (customer, limit) = (&want.customer, want.limit);
         if limit.rate_per_s <= 0.0 {
             return Ok(None);
@@ -54,9 +54,9 @@
     }
 
     /// A request that had a token, held here or not, did not run.
-    pub(crate) fn return_token(&self, customer: &str, token: Option<StockToken>) {
+    pub(crate) fn return_token(&self, customer: &str, token: Option<BufferedToken>) {
         let mut stock = self.quota.borrow_mut();
-        stock.take_back(now_ms(), customer, token);
+        stock.refund_token(now_ms(), customer, token);
     }
 
     async fn take_from_members(
@@ -88,7 +88,10 @@
     /// Takes tokens in advance for customers that send steadily.
     pub(crate) async fn refill_quota(self: &Rc<Self>) {
         let configuration = self.configuration();
-        let wanted = self.quota.borrow_mut().wanted(now_ms(), AHEAD_MS);
+        let wanted = self
+            .quota
+            .borrow_mut()
+            .tokens_to_request(now_ms(), AHEAD_MS);
         let mut wants: Vec<QuotaWant> = wanted
             .into_iter()
             .filter_map(|(customer, requests)| {
--- a/crates/gateway/src/edge/sync.rs
+++ b/crates/gateway/src/edge/sync.rs
@@ -9,10 +9,10 @@
 use crate::edge::Edge;
 use crate::edge::quota::REFILL_INTERVAL_MS;
 use crate::endpoint_view::{
-    BETWEEN_CHANGES_MS, EndpointFollower, EndpointNews, EndpointView, WATCH_MS,
+    CHANGE_BATCH_MS, ENTRY_WATCH_MS, EndpointUpdate, EndpointView, EndpointWatcher,
 };
 use crate::membership::GROUP_RECORD;
-use crate::presence::{PRESENCE_INTERVAL_MS, is_mostly_away};
+use crate::presence::{PRESENCE_INTERVAL_MS, is_majority_absent};
 
 /// Part of the time in which changes must be in force after which the configuration is read
 /// again. With the age that a member's may have, and a read that fails, this is within it.
@@ -188,12 +188,12 @@
 /// itself while no such member has heard from it lately.
 async fn follow_endpoints(edge: Rc<Edge>) {
     let mut view = EndpointView::default();
-    let mut follower = EndpointFollower::default();
+    let mut follower = EndpointWatcher::default();
     wait_for_group(&edge).await;
     loop {
-        let shared = edge.members.endpoints(view.told_through()).await;
+        let shared = edge.members.endpoints(view.update_cursor()).await;
         let told = shared.and_then(decode);
-        let changes = told.and_then(|told| view.take_news(now_ms(), told));
+        let changes = told.and_then(|told| view.apply_update(now_ms(), told));
         if let Some(changes) = changes {
             edge.take_endpoints(changes);
             follower.restart();
@@ -205,14 +205,14 @@
             pause(FAILED_READ_PAUSE_MS).await;
             continue;
         }
-        match follower.read(&*edge.store, WATCH_MS).await {
+        match follower.read(&*edge.store, ENTRY_WATCH_MS).await {
             Ok(read) => {
-                let changes = view.take_read(now_ms(), read);
+                let changes = view.apply_read(now_ms(), read);
                 let has_changes = !changes.is_empty();
                 edge.take_endpoints(changes);
                 edge.store_backoff.borrow_mut().succeed();
                 if has_changes {
-                    pause(BETWEEN_CHANGES_MS).await;
+                    pause(CHANGE_BATCH_MS).await;
                 }
             }
             Err(_) => {
@@ -223,9 +223,9 @@
     }
 }
 
-fn decode(told: SharedEndpoints) -> Option<EndpointNews> {
+fn decode(told: SharedEndpoints) -> Option<EndpointUpdate> {
     match postcard::from_bytes(&told.content) {
-        Ok(changes) => Some(EndpointNews {
+        Ok(changes) => Some(EndpointUpdate {
             cursor: told.cursor,
             revision: told.revision,
             is_complete: told.is_complete,
@@ -270,7 +270,7 @@
             pause(GROUP_INTERVAL_MS).await;
             continue;
         }
-        match edge.store.own_records(GROUP_RECORD, true).await {
+        match edge.store.internal_records(GROUP_RECORD, true).await {
             Ok(records) => {
                 edge.members.note_store();
                 let record = records.iter().find(|record| record.name == GROUP_RECORD);
@@ -334,7 +334,7 @@
     loop {
         pause(PRESENCE_INTERVAL_MS).await;
         let presence = edge.members.zone_presence(&edge.settings.name).await;
-        let is_zone_away = presence.is_some_and(is_mostly_away);
+        let is_zone_away = presence.is_some_and(is_majority_absent);
         if is_zone_away != edge.is_zone_mostly_away.replace(is_zone_away) {
             let ZonePresence { known, present } = presence.unwrap_or_default();
             log::warn!(
--- a/crates/gateway/src/endpoint_view.rs
+++ b/crates/gateway/src/endpoint_view.rs
@@ -17,19 +17,19 @@
 const MISSING_GRACE_MS: u64 = 2_000;
 
 /// How long a watch of an entry instance waits for changes, in milliseconds: each is a call.
-pub(crate) const WATCH_MS: u64 = 2_500;
+pub(crate) const ENTRY_WATCH_MS: u64 = 2_500;
 
 /// How long a watch of a member waits for changes, in milliseconds. Entry instances rely on it,
 /// so that one which went silent must be noticed while a leaving endpoint need not be known.
-pub(crate) const SHARED_WATCH_MS: u64 = 800;
+pub(crate) const MEMBER_WATCH_MS: u64 = 800;
 
 /// Changes that come within this time are taken together, in milliseconds: each watch is a
 /// call, and a leaving endpoint must be known within two seconds.
-pub(crate) const BETWEEN_CHANGES_MS: u64 = 500;
+pub(crate) const CHANGE_BATCH_MS: u64 = 500;
 
 /// A view that has not heard from the store for longer is not shared, in milliseconds: a watch,
 /// the pause between two, and the way there and back.
-const MOST_SHARED_AGE_MS: u64 = SHARED_WATCH_MS + BETWEEN_CHANGES_MS + 200;
+const MOST_SHARED_AGE_MS: u64 = MEMBER_WATCH_MS + CHANGE_BATCH_MS + 200;
 
 /// Changes that are kept for instances that ask, more than a release of all endpoints of a
 /// large service makes between two questions.
@@ -52,7 +52,7 @@
 
 /// What a view tells another instance.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EndpointNews {
+pub struct EndpointUpdate {
     /// Where to go on.
     pub cursor: EndpointCursor,
     /// Store revision of the view.
@@ -81,7 +81,7 @@
     missing_since_ms: HashMap<String, u64>,
     /// Where the last news of another instance ended. None are known if the store told
     /// something since: such news must be complete.
-    told_through: EndpointCursor,
+    update_cursor: EndpointCursor,
 }
 
 impl EndpointView {
@@ -94,9 +94,9 @@
     }
 
     /// Takes what the store told. Returns what has changed by that.
-    pub fn take_read(&mut self, now_ms: u64, read: EndpointRead) -> Vec<EndpointChange> {
+    pub fn apply_read(&mut self, now_ms: u64, read: EndpointRead) -> Vec<EndpointChange> {
         self.heard_ms = Some(now_ms);
-        self.told_through = EndpointCursor::default();
+        self.update_cursor = EndpointCursor::default();
         let mut news = Vec::new();
         match read {
             EndpointRead::Listed {
@@ -127,17 +127,17 @@
 
     /// Takes what another instance told. Returns what has changed by that, or none if this view
     /// is newer.
-    pub fn take_news(
+    pub fn apply_update(
         &mut self,
         now_ms: u64,
-        told: EndpointNews,
+        told: EndpointUpdate,
     ) -> Option<Vec<EndpointChange>> {
         if told.revision < self.revision {
-            self.told_through = EndpointCursor::default();
+            self.update_cursor = EndpointCursor::default();
             return None;
         }
         self.revision = told.revision;
-        self.told_through = told.cursor;
+        self.update_cursor = told.cursor;
         let mut news = Vec::new();
         if told.is_complete {
             let listed = told.changes.iter().filter_map(|change| match change {
@@ -159,17 +159,17 @@
     }
 
     /// Where other instances should begin to tell.
-    pub fn told_through(&self) -> EndpointCursor {
-        self.told_through
+    pub fn update_cursor(&self) -> EndpointCursor {
+        self.update_cursor
     }
 
     /// What another instance does not know yet, or none if the store has not been heard lately
     /// or was lost shortly before.
-    pub fn news_since(
+    pub fn update_since(
         &mut self,
         now_ms: u64,
         known: EndpointCursor,
-    ) -> Option<EndpointNews> {
+    ) -> Option<EndpointUpdate> {
         let heard_ms = self.heard_ms?;
         if heard_ms + MOST_SHARED_AGE_MS < now_ms || now_ms < self.settled_at_ms {
             return None;
@@ -188,7 +188,7 @@
                 self.recent.iter().skip(known).cloned().collect()
             }
         };
-        Some(EndpointNews {
+        Some(EndpointUpdate {
             cursor: EndpointCursor {
                 view: self.id,
                 sequence: self.sequence,
@@ -258,15 +258,15 @@
 
 /// Follows the endpoints in the store, one call at a time.
 #[derive(Debug, Default)]
-pub(crate) struct EndpointFollower {
+pub(crate) struct EndpointWatcher {
     after_revision: Option<u64>,
     was_cut_off: bool,
 }
 
-impl EndpointFollower {
+impl EndpointWatcher {
     /// A follower that knows nothing of the time before: the store may have been away then.
-    pub(crate) fn after_gap() -> EndpointFollower {
-        EndpointFollower {
+    pub(crate) fn after_gap() -> EndpointWatcher {
+        EndpointWatcher {
             after_revision: None,
             was_cut_off: true,
         }
--- a/crates/gateway/src/http_link.rs
+++ b/crates/gateway/src/http_connection.rs
@@ -34,7 +34,7 @@
 
 /// A connection. Dropping it closes the socket at once.
 #[derive(Debug)]
-pub struct HttpLink {
+pub struct HttpConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
 }
@@ -48,13 +48,16 @@
     Lost(String),
 }
 
-impl HttpLink {
+impl HttpConnection {
     /// Connects.
     ///
     /// # Errors
     ///
     /// If the address refuses, or does not answer within `timeout_ms`.
-    pub async fn connect(address: SocketAddr, timeout_ms: u64) -> io::Result<HttpLink> {
+    pub async fn connect(
+        address: SocketAddr,
+        timeout_ms: u64,
+    ) -> io::Result<HttpConnection> {
         let stream = connect_tcp(address, timeout_ms).await?;
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
@@ -63,7 +66,7 @@
                 log::debug!("event=connection_ended address={address} reason={error:?}");
             }
         });
-        Ok(HttpLink { sender, driver })
+        Ok(HttpConnection { sender, driver })
     }
 
     /// Whether a request can be sent now.
@@ -96,7 +99,7 @@
     pub fn close(self) {}
 }
 
-impl Drop for HttpLink {
+impl Drop for HttpConnection {
     fn drop(&mut self) {
         self.driver.abort();
     }
@@ -122,7 +125,7 @@
 /// # Errors
 ///
 /// If the socket does not take them.
-pub fn watch_caller(stream: &TcpStream) -> io::Result<()> {
+pub fn set_caller_timeouts(stream: &TcpStream) -> io::Result<()> {
     watch_silence(stream, CALLER_UNCONFIRMED_TIMEOUT)
 }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -18,14 +18,14 @@
 mod endpoint_view;
 mod events;
 mod freshness;
-pub mod http_link;
+pub mod http_connection;
 mod link;
 mod log_queue;
 mod membership;
 mod metrics;
 mod presence;
 mod protocol;
-mod quota_stock;
+mod quota_buffer;
 mod retry;
 mod settings;
 pub mod storage;
@@ -37,21 +37,22 @@
 pub use config::{
     CallKind, Configuration, Customer, Engine, Limits, Route, Service, ServiceShare,
 };
-pub use contact::Contact;
+pub use contact::GroupContact;
 pub use directory::{
     ConfigurationRead, EndpointChange, EndpointChanges, EndpointEntry, EndpointSnapshot,
-    MetadataError, MetadataStore, OwnRecord, Retirement, RetirementState, StoreFuture,
+    InternalRecord, MetadataError, MetadataStore, Retirement, RetirementState,
+    StoreFuture,
 };
-pub use endpoint_view::{EndpointNews, EndpointRead, EndpointView};
+pub use endpoint_view::{EndpointRead, EndpointUpdate, EndpointView};
 pub use events::{EventReader, StreamEvent};
 pub use freshness::Freshness;
-pub use link::{AnswerFuture, LinkError, MemberLinks};
-pub use log_queue::{LineBudget, LogQueue, MOST_WAITING_LINES, batch_lines};
-pub use presence::{PRESENCE_INTERVAL_MS, PresenceBook, is_mostly_away};
+pub use link::{AnswerFuture, LinkError, MemberClient};
+pub use log_queue::{LineBudget, LogQueue, MAX_QUEUED_LINES, batch_lines};
+pub use presence::{PRESENCE_INTERVAL_MS, PresenceTracker, is_majority_absent};
 pub use protocol::{
     BadRequest, CallHead, CallProtocol, EndpointHeaders, EndpointReply, Load, ProgramCall,
 };
-pub use quota_stock::{QuotaStock, StockToken};
+pub use quota_buffer::{BufferedToken, QuotaBuffer};
 pub use retry::{Attempt, Outcome, RetryPolicy, Step};
 pub use settings::{Bounds, NodeSettings, ProcessLimits};
 pub use urgency::engine_priority;
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -23,7 +23,7 @@
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
 use crate::clock::now_ms;
-use crate::http_link::connect_tcp;
+use crate::http_connection::connect_tcp;
 
 /// Largest frame, in bytes: a part of a book with one large turn.
 const MOST_FRAME_BYTES: usize = 12 << 20;
@@ -176,7 +176,7 @@
 pub type AnswerFuture = LocalBoxFuture<'static, Result<Answer, LinkError>>;
 
 /// Ways to instances with disks.
-pub trait MemberLinks {
+pub trait MemberClient {
     /// Asks a question in a version of the group. An asker that counts answers towards one
     /// decision counts only those of one version.
     ///
@@ -190,7 +190,7 @@
     ) -> AnswerFuture;
 }
 
-impl MemberLinks for Links {
+impl MemberClient for LinkPool {
     fn ask(
         &self,
         member: &Member,
@@ -205,11 +205,11 @@
 
 /// Connections to instances with disks, by their names.
 #[derive(Default)]
-pub(crate) struct Links {
+pub(crate) struct LinkPool {
     by_name: RefCell<HashMap<String, Rc<Link>>>,
 }
 
-impl Links {
+impl LinkPool {
     /// The connection to an instance. One that has moved to another address gets a new one.
     pub(crate) fn to(&self, member: &Member) -> Rc<Link> {
         let mut links = self.by_name.borrow_mut();
--- a/crates/gateway/src/log_queue.rs
+++ b/crates/gateway/src/log_queue.rs
@@ -13,7 +13,7 @@
 use crossbeam::channel::{Receiver, Sender, bounded};
 
 /// Lines that may wait. At 200 bytes each this is half a megabyte.
-pub const MOST_WAITING_LINES: usize = 2_048;
+pub const MAX_QUEUED_LINES: usize = 2_048;
 
 /// Lines are written together after this time, since each write and each wake-up costs.
 const WRITE_PAUSE: Duration = Duration::from_millis(100);
@@ -47,7 +47,7 @@
     }
 
     /// Lines left out since the last call.
-    pub fn sum_up(&mut self) -> u64 {
+    pub fn take_omitted(&mut self) -> u64 {
         std::mem::take(&mut self.left_out)
     }
 }
@@ -66,7 +66,7 @@
     ///
     /// If its thread cannot be started.
     pub fn start(output: impl Write + Send + 'static) -> io::Result<LogQueue> {
-        let (lines, queue) = bounded(MOST_WAITING_LINES);
+        let (lines, queue) = bounded(MAX_QUEUED_LINES);
         let lost = Arc::new(AtomicU64::new(0));
         let counted = Arc::clone(&lost);
         thread::Builder::new()
@@ -88,7 +88,7 @@
 /// Lines may be queued while the batch is put together, so that `waiting` need not end.
 pub fn batch_lines(first: String, waiting: impl Iterator<Item = String>) -> String {
     waiting
-        .take(MOST_WAITING_LINES)
+        .take(MAX_QUEUED_LINES)
         .fold(first, |text, line| text + &line)
 }
 
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -13,14 +13,14 @@
 pub(crate) const GROUP_RECORD: &str = "group";
 
 /// Names of the records of instances with disks begin with this.
-pub(crate) const MEMBER_RECORDS: &str = "storage/";
+pub(crate) const MEMBER_RECORD_PREFIX: &str = "storage/";
 
 /// A turn is decided within this time, in milliseconds, or not at all.
-pub(crate) const DECISION_LIMIT_MS: u64 = 1_000;
+pub(crate) const DECISION_TIMEOUT_MS: u64 = 1_000;
 
 /// An instance that lacks facts copies none for this time after its start, in milliseconds:
 /// turns that it answered before its disk was lost are decided by then.
-pub(crate) const COPY_DELAY_MS: u64 = DECISION_LIMIT_MS + 500;
+pub(crate) const COPY_DELAY_MS: u64 = DECISION_TIMEOUT_MS + 500;
 
 /// A member that has been silent for this long is replaced if a spare is there, in
 /// milliseconds. Restarts and short outages are over by then, and replacing one costs a copy
--- a/crates/gateway/src/presence.rs
+++ b/crates/gateway/src/presence.rs
@@ -22,13 +22,13 @@
 
 /// What a member knows of the entry instances of its zone.
 #[derive(Debug, Default)]
-pub struct PresenceBook {
+pub struct PresenceTracker {
     heard_ms: HashMap<String, u64>,
 }
 
-impl PresenceBook {
+impl PresenceTracker {
     /// An entry instance sends a message. Returns how many there are.
-    pub fn hear(&mut self, now_ms: u64, instance: &str) -> ZonePresence {
+    pub fn record_message(&mut self, now_ms: u64, instance: &str) -> ZonePresence {
         self.heard_ms.insert(instance.to_string(), now_ms);
         self.heard_ms
             .retain(|_, heard_ms| now_ms < *heard_ms + FORGET_AFTER_MS);
@@ -42,6 +42,6 @@
 }
 
 /// Whether callers of a zone are better served by other zones.
-pub fn is_mostly_away(presence: ZonePresence) -> bool {
+pub fn is_majority_absent(presence: ZonePresence) -> bool {
     presence.present.saturating_mul(2) < presence.known
 }
--- a/crates/gateway/src/quota_stock.rs
+++ b/crates/gateway/src/quota_buffer.rs
@@ -15,7 +15,7 @@
 
 /// A token that a request took from the stock.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct StockToken {
+pub struct BufferedToken {
     /// When it lapses, in milliseconds.
     expires_ms: u64,
 }
@@ -47,13 +47,13 @@
 
 /// Tokens of all customers.
 #[derive(Debug, Default)]
-pub struct QuotaStock {
+pub struct QuotaBuffer {
     stocks: HashMap<String, Stock>,
 }
 
-impl QuotaStock {
+impl QuotaBuffer {
     /// A request of a customer arrives and takes a token, if one is held.
-    pub fn take(&mut self, now_ms: u64, customer: &str) -> Option<StockToken> {
+    pub fn take(&mut self, now_ms: u64, customer: &str) -> Option<BufferedToken> {
         let stock = self.stock(customer);
         stock.note_demand(now_ms, 1.0);
         stock.lapse(now_ms);
@@ -61,12 +61,17 @@
         if count > 1 {
             stock.tokens.push_front((expires_ms, count - 1));
         }
-        Some(StockToken { expires_ms })
+        Some(BufferedToken { expires_ms })
     }
 
     /// A request did not run, so it was no demand, and the token that it took from the stock
     /// may serve another one. The token lapses when it would have.
-    pub fn take_back(&mut self, now_ms: u64, customer: &str, token: Option<StockToken>) {
+    pub fn refund_token(
+        &mut self,
+        now_ms: u64,
+        customer: &str,
+        token: Option<BufferedToken>,
+    ) {
         let stock = self.stock(customer);
         stock.note_demand(now_ms, -1.0);
         stock.demand_per_ms = stock.demand_per_ms.max(0.0);
@@ -84,7 +89,11 @@
     }
 
     /// How many tokens to ask for in advance, to last for `ahead_ms`.
-    pub fn wanted(&mut self, now_ms: u64, ahead_ms: u64) -> Vec<(String, u32)> {
+    pub fn tokens_to_request(
+        &mut self,
+        now_ms: u64,
+        ahead_ms: u64,
+    ) -> Vec<(String, u32)> {
         self.stocks.retain(|_, stock| {
             stock.note_demand(now_ms, 0.0);
             stock.lapse(now_ms);
--- a/crates/gateway/src/retry.rs
+++ b/crates/gateway/src/retry.rs
@@ -39,7 +39,7 @@
     /// Tell the caller that it may have run.
     FailUnknown,
     /// Hand the endpoint's failure to the caller.
-    PassOn,
+    ForwardFailure,
 }
 
 /// Limits of one request.
@@ -64,7 +64,7 @@
 
 impl Attempt {
     /// How long to wait for the head of an answer, in milliseconds.
-    pub fn patience_ms(
+    pub fn response_timeout_ms(
         &self,
         policy: RetryPolicy,
         target_ms: u64,
@@ -74,8 +74,8 @@
         match is_last || !policy.kind.may_run_again() {
             true => time_left_ms,
             false => {
-                let patience_ms = PATIENCE_TARGETS * target_ms;
-                patience_ms.max(LEAST_PATIENCE_MS).min(time_left_ms)
+                let response_timeout_ms = PATIENCE_TARGETS * target_ms;
+                response_timeout_ms.max(LEAST_PATIENCE_MS).min(time_left_ms)
             }
         }
     }
@@ -94,7 +94,7 @@
         let may_repeat = !self.may_have_run || policy.kind.may_run_again();
         match outcome {
             _ if has_attempts && may_repeat => Step::SendAgain,
-            Outcome::Failed => Step::PassOn,
+            Outcome::Failed => Step::ForwardFailure,
             _ if self.may_have_run => Step::FailUnknown,
             _ => Step::RefuseNotRun,
         }
--- a/crates/gateway/src/storage/answers.rs
+++ b/crates/gateway/src/storage/answers.rs
@@ -138,7 +138,7 @@
                 self.share_configuration(now_ms, known_revision)
             }
             Ask::Presence { instance } => {
-                Answer::Presence(self.presence.hear(now_ms, &instance))
+                Answer::Presence(self.presence.record_message(now_ms, &instance))
             }
             Ask::Endpoints { known } => self.share_endpoints(now_ms, known),
             _ => Answer::NotVoting,
@@ -211,7 +211,7 @@
     }
 
     fn share_endpoints(&mut self, now_ms: u64, known: EndpointCursor) -> Answer {
-        let Some(news) = self.endpoints.news_since(now_ms, known) else {
+        let Some(news) = self.endpoints.update_since(now_ms, known) else {
             return Answer::Unavailable;
         };
         match postcard::to_stdvec(&news.changes) {
--- a/crates/gateway/src/storage/care.rs
+++ b/crates/gateway/src/storage/care.rs
@@ -10,8 +10,10 @@
 use crate::clock::{now_ms, pause};
 use crate::config::Configuration;
 use crate::directory::{MetadataError, RetirementState};
-use crate::endpoint_view::{BETWEEN_CHANGES_MS, EndpointFollower, SHARED_WATCH_MS};
-use crate::membership::{COPY_DELAY_MS, GROUP_RECORD, MEMBER_RECORDS, Proposal, Watcher};
+use crate::endpoint_view::{CHANGE_BATCH_MS, EndpointWatcher, MEMBER_WATCH_MS};
+use crate::membership::{
+    COPY_DELAY_MS, GROUP_RECORD, MEMBER_RECORD_PREFIX, Proposal, Watcher,
+};
 use crate::storage::node::{ConfigurationFacts, Event};
 use crate::storage::serve::Storage;
 
@@ -67,17 +69,17 @@
 /// Entry instances ask members for what these read from the store, so spare instances do not
 /// read it.
 async fn follow_endpoints(storage: Rc<Storage>) {
-    let mut follower = EndpointFollower::after_gap();
+    let mut follower = EndpointWatcher::after_gap();
     loop {
         if !storage.node.borrow().is_member() {
-            follower = EndpointFollower::after_gap();
+            follower = EndpointWatcher::after_gap();
             pause(GROUP_INTERVAL_MS).await;
             continue;
         }
-        match follower.read(&*storage.store, SHARED_WATCH_MS).await {
+        match follower.read(&*storage.store, MEMBER_WATCH_MS).await {
             Ok(read) => {
                 storage.apply(Event::EndpointsRead(read));
-                pause(BETWEEN_CHANGES_MS).await;
+                pause(CHANGE_BATCH_MS).await;
             }
             Err(_) => pause(FAILED_CALL_PAUSE_MS).await,
         }
@@ -242,12 +244,12 @@
 
 async fn register(storage: Rc<Storage>) {
     let me = storage.me();
-    let name = format!("{MEMBER_RECORDS}{}", me.name);
+    let name = format!("{MEMBER_RECORD_PREFIX}{}", me.name);
     loop {
         let content = encode(&me);
         match storage
             .store
-            .write_own_record(name.clone(), content, None)
+            .write_internal_record(name.clone(), content, None)
             .await
         {
             Ok(()) => return,
@@ -278,11 +280,10 @@
     // What this instance promised before its disk was lost is in a record that was the newest
     // after its start. From then on an older one does no harm: it is ignored, and a change that
     // rests on it fails.
-    let is_stale_allowed =
-        storage.node.borrow().has_voted() || storage.has_read_group.get();
+    let allow_stale = storage.node.borrow().has_voted() || storage.has_read_group.get();
     let records = storage
         .store
-        .own_records(GROUP_RECORD, is_stale_allowed)
+        .internal_records(GROUP_RECORD, allow_stale)
         .await?;
     let record = records
         .into_iter()
@@ -323,7 +324,10 @@
 
 /// Founds the group of the instances that have registered.
 async fn found(storage: &Storage) -> Result<(), MetadataError> {
-    let records = storage.store.own_records(MEMBER_RECORDS, false).await?;
+    let records = storage
+        .store
+        .internal_records(MEMBER_RECORD_PREFIX, false)
+        .await?;
     let candidates: Vec<Member> = records
         .iter()
         .map(|record| decode(&record.content))
@@ -350,7 +354,7 @@
     let content = encode(group);
     let store = &storage.store;
     store
-        .write_own_record(name, content, Some(expected_revision))
+        .write_internal_record(name, content, Some(expected_revision))
         .await
 }
 
--- a/crates/gateway/src/storage/node.rs
+++ b/crates/gateway/src/storage/node.rs
@@ -11,7 +11,7 @@
 
 use crate::endpoint_view::{EndpointRead, EndpointView};
 use crate::freshness::Freshness;
-use crate::presence::PresenceBook;
+use crate::presence::PresenceTracker;
 
 new_key_type! {
     /// A connection of another instance.
@@ -107,7 +107,7 @@
     pub(super) larger_parts: Option<(u64, usize)>,
     pub(super) freshness: Freshness,
     pub(super) endpoints: EndpointView,
-    pub(super) presence: PresenceBook,
+    pub(super) presence: PresenceTracker,
     pub(super) configuration: Bytes,
     /// Store revision of `configuration`. 0 without one.
     pub(super) configuration_revision: u64,
@@ -152,7 +152,7 @@
             larger_parts: None,
             freshness: Freshness::default(),
             endpoints: EndpointView::new(turn_digest(&format!("{name}/{now_ms}"))),
-            presence: PresenceBook::default(),
+            presence: PresenceTracker::default(),
             configuration: Bytes::new(),
             configuration_revision: 0,
             appended: 0,
@@ -223,7 +223,7 @@
                 Vec::new()
             }
             Event::EndpointsRead(read) => {
-                self.endpoints.take_read(now_ms, read);
+                self.endpoints.apply_read(now_ms, read);
                 Vec::new()
             }
             Event::Tick => {
--- a/crates/gateway/src/storage/serve.rs
+++ b/crates/gateway/src/storage/serve.rs
@@ -14,7 +14,7 @@
 use crate::clock::now_ms;
 use crate::directory::MetadataStore;
 use crate::edge::listen::{accept, listen, serve_text, wait_for_stop};
-use crate::link::{Links, accept as split, decode_request, write_messages};
+use crate::link::{LinkPool, accept as split, decode_request, write_messages};
 use crate::settings::NodeSettings;
 use crate::storage::care;
 use crate::storage::disk::Disk;
@@ -33,7 +33,7 @@
     /// The group was read from the store since the start.
     pub has_read_group: Cell<bool>,
     connections: RefCell<SlotMap<ConnectionKey, mpsc::UnboundedSender<Reply>>>,
-    pub links: Links,
+    pub links: LinkPool,
 }
 
 /// Runs an instance with a disk until it is told to stop.
@@ -71,7 +71,7 @@
         logged_bytes: Cell::new(0),
         has_read_group: Cell::new(false),
         connections: RefCell::default(),
-        links: Links::default(),
+        links: LinkPool::default(),
     });
     care::start(&storage);
     let disk_lost = tokio::task::spawn_local(follow_disk(Rc::clone(&storage), synced));
--- a/crates/gateway/tests/balance.rs
+++ b/crates/gateway/tests/balance.rs
@@ -176,7 +176,7 @@
 /// The same holds for one that resets connections. Seen on scale-2 of the grown
 /// dvcra-council-reports: 31 instances lost 117 requests at one such endpoint, up to 10 each, since
 /// it was as attractive as before after each pause.
-#[test_case(Balancer::answer_with_error)]
+#[test_case(Balancer::record_error_response)]
 #[test_case(Balancer::fail)]
 fn endpoint_that_fails_requests_at_once_does_not_attract_them(
     note_error: fn(&mut Balancer, u64, EndpointKey),
@@ -208,13 +208,13 @@
     let mut balancer = balancer(&[("one", "a"), ("two", "a"), ("far", "b")]);
     let one = balancer.pick(0, "engines", None, &["two".to_string()]);
     let one = one.expect("one").key;
-    balancer.answer_with_error(0, one);
+    balancer.record_error_response(0, one);
     assert_eq!(picked(&balancer, 0), "two");
     let two = balancer.pick(0, "engines", None, &["one".to_string()]);
     let two = two.expect("two").key;
-    balancer.answer_with_error(0, two);
+    balancer.record_error_response(0, two);
     assert_ne!(picked(&balancer, 0), "far");
-    balancer.answer_with_error(1, one);
+    balancer.record_error_response(1, one);
     assert_eq!(picked(&balancer, 1), "two");
     balancer.begin(two);
     assert_eq!(picked(&balancer, 60_000), "one");
--- a/crates/gateway/tests/contact.rs
+++ b/crates/gateway/tests/contact.rs
@@ -1,12 +1,12 @@
-//! Contact with the group, freshness of the configuration, tokens of customers.
+//! Whether the group answers, freshness of the configuration, tokens of customers.
 
-use jayreel_gateway::{Contact, Freshness, QuotaStock};
+use jayreel_gateway::{Freshness, GroupContact, QuotaBuffer};
 
 /// An instance that is cut off from the group notices within a second, and asks callers to
 /// come back when the balancer has sent them elsewhere.
 #[test]
 fn cut_off_instance_notices() {
-    let mut contact = Contact::default();
+    let mut contact = GroupContact::default();
     assert!(!contact.has_quorum(0));
     contact.note_quorum(1_000);
     assert!(
@@ -34,7 +34,7 @@
 /// they tried another one.
 #[test]
 fn callers_of_an_instance_that_is_alone_go_elsewhere_at_once() {
-    let mut contact = Contact::default();
+    let mut contact = GroupContact::default();
     contact.note_quorum(1_000);
     assert!(contact.retry_ms(3_000, true) <= 100);
 }
@@ -43,18 +43,18 @@
 /// callers that had kept their connections were told 900 ms, though a new one led elsewhere.
 #[test]
 fn callers_come_back_at_once_when_the_balancer_has_acted() {
-    let mut contact = Contact::default();
+    let mut contact = GroupContact::default();
     contact.note_quorum(1_000);
-    assert!(!contact.is_left_by_balancer(3_000));
+    assert!(!contact.is_out_of_rotation(3_000));
     contact.note_member(5_900);
-    assert!(contact.is_left_by_balancer(6_000));
+    assert!(contact.is_out_of_rotation(6_000));
     assert!(contact.retry_ms(6_000, true) <= 100);
 }
 
 /// The member of the zone answers, so all instances of the zone are cut off.
 #[test]
 fn callers_of_a_zone_that_is_cut_off_wait_for_the_balancer() {
-    let mut contact = Contact::default();
+    let mut contact = GroupContact::default();
     contact.note_quorum(1_000);
     contact.note_member(1_900);
     assert!(contact.retry_ms(2_000, true) >= 800);
@@ -64,7 +64,7 @@
 /// seconds. Each entry instance took itself to be alone, and callers used up their attempts at once.
 #[test]
 fn callers_wait_while_the_members_are_down() {
-    let mut contact = Contact::default();
+    let mut contact = GroupContact::default();
     contact.note_quorum(1_000);
     contact.note_store(1_900);
     assert!(contact.retry_ms(2_500, true) >= 800);
@@ -79,13 +79,13 @@
 /// After a kill of all processes members answer within half a second; callers were told 900 ms.
 #[test]
 fn callers_of_an_instance_that_starts_come_back_soon() {
-    let contact = Contact::default();
+    let contact = GroupContact::default();
     assert!((100..=400).contains(&contact.retry_ms(1_000, true)));
 }
 
 #[test]
 fn one_member_is_no_quorum() {
-    let mut contact = Contact::default();
+    let mut contact = GroupContact::default();
     contact.note_member(1_000);
     assert!(contact.has_member(1_100));
     assert!(!contact.has_quorum(1_100));
@@ -109,7 +109,7 @@
 
 #[test]
 fn tokens_lapse() {
-    let mut stock = QuotaStock::default();
+    let mut stock = QuotaBuffer::default();
     stock.add(1_000, "c", 2);
     assert!(stock.take(1_100, "c").is_some());
     assert_eq!(stock.take(2_000, "c"), None, "the second token has lapsed");
@@ -119,12 +119,12 @@
 /// lives no longer for that.
 #[test]
 fn returned_token_serves_another_request_until_it_lapses() {
-    let mut stock = QuotaStock::default();
+    let mut stock = QuotaBuffer::default();
     stock.add(1_000, "c", 1);
     let token = stock.take(1_100, "c").expect("a token");
-    stock.take_back(1_100, "c", Some(token));
+    stock.refund_token(1_100, "c", Some(token));
     let token = stock.take(1_200, "c").expect("the token again");
-    stock.take_back(1_200, "c", Some(token));
+    stock.refund_token(1_200, "c", Some(token));
     assert_eq!(stock.take(2_000, "c"), None, "it has lapsed");
 }
 
@@ -132,24 +132,24 @@
 /// and the customer's other requests lack them.
 #[test]
 fn requests_that_do_not_run_are_no_demand() {
-    let mut stock = QuotaStock::default();
+    let mut stock = QuotaBuffer::default();
     for request in 0..200 {
         stock.take(request * 10, "endless");
-        stock.take_back(request * 10 + 5, "endless", None);
+        stock.refund_token(request * 10 + 5, "endless", None);
     }
-    assert_eq!(stock.wanted(2_000, 250), []);
+    assert_eq!(stock.tokens_to_request(2_000, 250), []);
 }
 
 /// A customer that sends steadily gets its tokens before it needs them; one that sends now
 /// and then holds none back from others.
 #[test]
 fn tokens_are_wanted_for_steady_demand_only() {
-    let mut stock = QuotaStock::default();
+    let mut stock = QuotaBuffer::default();
     for request in 0..200 {
         stock.take(request * 10, "steady");
     }
     stock.take(1_990, "rare");
-    let wanted = stock.wanted(2_000, 250);
+    let wanted = stock.tokens_to_request(2_000, 250);
     let steady = wanted.iter().find(|(customer, _)| customer == "steady");
     let steady = steady.map(|(_, count)| *count).unwrap_or(0);
     assert!(
--- a/crates/gateway/tests/endpoint_view.rs
+++ b/crates/gateway/tests/endpoint_view.rs
@@ -50,8 +50,11 @@
 #[test]
 fn entry_that_went_while_connected_is_gone_at_once() {
     let mut view = EndpointView::new(1);
-    view.take_read(0, listed(1, &["one", "two"], true));
-    assert_eq!(view.take_read(10, listed(2, &["one"], true)), [gone("two")]);
+    view.apply_read(0, listed(1, &["one", "two"], true));
+    assert_eq!(
+        view.apply_read(10, listed(2, &["one"], true)),
+        [gone("two")]
+    );
 }
 
 /// The store was away and has lost leases of endpoints that are still there: those that come
@@ -59,11 +62,11 @@
 #[test]
 fn missing_entry_is_kept_for_a_while() {
     let mut view = EndpointView::new(1);
-    view.take_read(0, listed(1, &["one", "two"], true));
-    assert_eq!(view.take_read(1_000, listed(2, &[], false)), []);
-    let back = view.take_read(2_900, changed(3, &[present("one")]));
+    view.apply_read(0, listed(1, &["one", "two"], true));
+    assert_eq!(view.apply_read(1_000, listed(2, &[], false)), []);
+    let back = view.apply_read(2_900, changed(3, &[present("one")]));
     assert_eq!(back, []);
-    assert_eq!(view.take_read(3_000, changed(3, &[])), [gone("two")]);
+    assert_eq!(view.apply_read(3_000, changed(3, &[])), [gone("two")]);
 }
 
 /// A member was cut off while an endpoint went, and keeps its entry for a while, since it does
@@ -71,20 +74,20 @@
 #[test]
 fn missing_entry_is_not_shared() {
     let mut cut_off = EndpointView::new(1);
-    cut_off.take_read(0, listed(1, &["one", "two"], true));
+    cut_off.apply_read(0, listed(1, &["one", "two"], true));
     let mut asker = EndpointView::new(2);
-    asker.take_read(0, listed(1, &["one", "two"], true));
-    asker.take_read(500, changed(2, &[gone("one")]));
-    cut_off.take_read(1_000, listed(2, &["two"], false));
+    asker.apply_read(0, listed(1, &["one", "two"], true));
+    asker.apply_read(500, changed(2, &[gone("one")]));
+    cut_off.apply_read(1_000, listed(2, &["two"], false));
     for now_ms in (1_000..3_000).step_by(500) {
-        cut_off.take_read(now_ms, changed(2, &[]));
-        assert_eq!(cut_off.news_since(now_ms, asker.told_through()), None);
+        cut_off.apply_read(now_ms, changed(2, &[]));
+        assert_eq!(cut_off.update_since(now_ms, asker.update_cursor()), None);
     }
-    cut_off.take_read(3_000, changed(2, &[]));
+    cut_off.apply_read(3_000, changed(2, &[]));
     let told = cut_off
-        .news_since(3_000, asker.told_through())
+        .update_since(3_000, asker.update_cursor())
         .expect("news");
-    assert_eq!(asker.take_news(3_000, told), Some(Vec::new()));
+    assert_eq!(asker.apply_update(3_000, told), Some(Vec::new()));
 }
 
 /// A leaving endpoint must be known within two seconds, through a member too whose connection
@@ -92,41 +95,48 @@
 #[test]
 fn view_that_has_not_heard_from_the_store_is_not_shared() {
     let mut view = EndpointView::new(1);
-    assert_eq!(view.news_since(0, EndpointCursor::default()), None);
-    view.take_read(0, listed(1, &["one"], true));
-    assert!(view.news_since(1_000, EndpointCursor::default()).is_some());
-    assert_eq!(view.news_since(2_000, EndpointCursor::default()), None);
+    assert_eq!(view.update_since(0, EndpointCursor::default()), None);
+    view.apply_read(0, listed(1, &["one"], true));
+    assert!(
+        view.update_since(1_000, EndpointCursor::default())
+            .is_some()
+    );
+    assert_eq!(view.update_since(2_000, EndpointCursor::default()), None);
 }
 
 /// Another member may lag behind the one that was asked before.
 #[test]
 fn older_view_changes_nothing() {
     let (mut old, mut new) = (EndpointView::new(1), EndpointView::new(2));
-    old.take_read(0, listed(1, &["one"], true));
-    new.take_read(0, listed(2, &["one", "two"], true));
+    old.apply_read(0, listed(1, &["one"], true));
+    new.apply_read(0, listed(2, &["one", "two"], true));
     let mut mine = EndpointView::new(3);
-    let told = new.news_since(0, EndpointCursor::default()).expect("news");
-    assert!(mine.take_news(0, told).is_some());
-    let told = old.news_since(0, EndpointCursor::default()).expect("news");
-    assert_eq!(mine.take_news(0, told), None);
+    let told = new
+        .update_since(0, EndpointCursor::default())
+        .expect("news");
+    assert!(mine.apply_update(0, told).is_some());
+    let told = old
+        .update_since(0, EndpointCursor::default())
+        .expect("news");
+    assert_eq!(mine.apply_update(0, told), None);
 }
 
 /// More changes than a member keeps for those that ask.
 #[test]
 fn asker_that_missed_many_changes_gets_all_endpoints() {
     let mut member = EndpointView::new(1);
-    member.take_read(0, listed(1, &["one"], true));
+    member.apply_read(0, listed(1, &["one"], true));
     let mut asker = EndpointView::new(2);
-    let told = member.news_since(0, EndpointCursor::default());
-    asker.take_news(0, told.expect("news"));
+    let told = member.update_since(0, EndpointCursor::default());
+    asker.apply_update(0, told.expect("news"));
     for number in 0..400 {
         let id = format!("endpoint-{number}");
-        member.take_read(0, changed(2, &[present(&id), gone(&id)]));
+        member.apply_read(0, changed(2, &[present(&id), gone(&id)]));
     }
-    member.take_read(0, changed(3, &[present("two")]));
-    let told = member.news_since(0, asker.told_through()).expect("news");
+    member.apply_read(0, changed(3, &[present("two")]));
+    let told = member.update_since(0, asker.update_cursor()).expect("news");
     assert!(told.is_complete);
-    assert_eq!(asker.take_news(0, told), Some(vec![present("two")]));
+    assert_eq!(asker.apply_update(0, told), Some(vec![present("two")]));
 }
 
 /// What happens in one step of `asker_follows_the_store`.
@@ -142,7 +152,7 @@
     ) {
         let mut members = [EndpointView::new(1), EndpointView::new(2)];
         for member in &mut members {
-            member.take_read(0, listed(0, &[], true));
+            member.apply_read(0, listed(0, &[], true));
         }
         let mut asker = EndpointView::new(3);
         let mut held = BTreeSet::new();
@@ -166,7 +176,7 @@
             for (index, member) in members.iter_mut().enumerate() {
                 if are_reading[index] {
                     let read = changed(revision as u64, &changes[seen[index]..]);
-                    member.take_read(0, read);
+                    member.apply_read(0, read);
                     seen[index] = revision;
                 }
             }
@@ -174,12 +184,12 @@
                 0 => {
                     let ids = stored[revision].iter().map(String::as_str);
                     let ids: Vec<&str> = ids.collect();
-                    Some(asker.take_read(0, listed(revision as u64, &ids, true)))
+                    Some(asker.apply_read(0, listed(revision as u64, &ids, true)))
                 }
                 member @ 1..=2 => {
                     let member = &mut members[member - 1];
-                    let told = member.news_since(0, asker.told_through()).expect("news");
-                    asker.take_news(0, told)
+                    let told = member.update_since(0, asker.update_cursor()).expect("news");
+                    asker.apply_update(0, told)
                 }
                 _ => continue,
             };
--- a/crates/gateway/tests/log_queue.rs
+++ b/crates/gateway/tests/log_queue.rs
@@ -4,7 +4,7 @@
 use std::iter;
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-use jayreel_gateway::{LineBudget, LogQueue, MOST_WAITING_LINES, batch_lines};
+use jayreel_gateway::{LineBudget, LogQueue, MAX_QUEUED_LINES, batch_lines};
 
 /// An output that is stuck until it is told to go on, and hands on what is written.
 struct Stuck {
@@ -35,7 +35,7 @@
         written,
     })
     .expect("a thread can be started");
-    let pushed = 10 * MOST_WAITING_LINES;
+    let pushed = 10 * MAX_QUEUED_LINES;
     (0..pushed).for_each(|number| queue.push(format!("event=test number={number}\n")));
     let mut lines = 0;
     let mut lost = 0;
@@ -59,7 +59,7 @@
 fn batch_is_bounded() {
     let endless = iter::repeat_with(|| "event=test\n".to_string());
     let batch = batch_lines("event=first\n".to_string(), endless);
-    assert_eq!(batch.lines().count(), 1 + MOST_WAITING_LINES);
+    assert_eq!(batch.lines().count(), 1 + MAX_QUEUED_LINES);
 }
 
 /// Ten times the usual load: lines about answers stay within the budget, and the rest is
@@ -72,8 +72,8 @@
         .count();
     assert!(written <= 6 * 60, "{written} lines in six seconds");
     assert_eq!(
-        budget.sum_up(),
+        budget.take_omitted(),
         6_000 - u64::try_from(written).expect("a count")
     );
-    assert_eq!(budget.sum_up(), 0);
+    assert_eq!(budget.take_omitted(), 0);
 }
--- a/crates/gateway/tests/members.rs
+++ b/crates/gateway/tests/members.rs
@@ -12,7 +12,7 @@
 use futures::FutureExt;
 use jayreel_gateway::edge::{FoundChain, Members};
 use jayreel_gateway::storage::{Event, Node};
-use jayreel_gateway::{AnswerFuture, LinkError, MemberLinks, now_ms};
+use jayreel_gateway::{AnswerFuture, LinkError, MemberClient, now_ms};
 use jayreel_ledger::{Answer, Ask, Decision, Group, Member, TurnRecord};
 use support::{TOLERANCE, answers, appended, ask, record, reservation};
 use tokio::task::LocalSet;
@@ -85,7 +85,7 @@
 
 struct Direct(Rc<Cluster>);
 
-impl MemberLinks for Direct {
+impl MemberClient for Direct {
     fn ask(&self, member: &Member, group_version: u64, ask: Ask, _: u64) -> AnswerFuture {
         let mut nodes = self.0.nodes.borrow_mut();
         let node = nodes.get_mut(&member.name).expect("an instance");
--- a/crates/gateway/tests/presence.rs
+++ b/crates/gateway/tests/presence.rs
@@ -1,21 +1,21 @@
 //! A zone of which most entry instances are cut off.
 
-use jayreel_gateway::{PRESENCE_INTERVAL_MS, PresenceBook, is_mostly_away};
+use jayreel_gateway::{PRESENCE_INTERVAL_MS, PresenceTracker, is_majority_absent};
 use test_case::test_case;
 
 /// What the first of ten entry instances hears after `away` others have been silent for
 /// `silent_ms`.
 fn is_zone_away(away: usize, silent_ms: u64) -> bool {
-    let mut book = PresenceBook::default();
+    let mut book = PresenceTracker::default();
     let names: Vec<String> = (0..10).map(|number| format!("entry-{number}")).collect();
     let mut heard = None;
     for now_ms in (0..10_000 + silent_ms).step_by(PRESENCE_INTERVAL_MS as usize) {
         let silent = if now_ms < 10_000 { 0 } else { away };
         for name in names[..10 - silent].iter().rev() {
-            heard = Some(book.hear(now_ms, name));
+            heard = Some(book.record_message(now_ms, name));
         }
     }
-    is_mostly_away(heard.expect("the first one is heard"))
+    is_majority_absent(heard.expect("the first one is heard"))
 }
 
 /// Seen on scale-2 of the grown hoaphat-pension: 8 of 10 entry instances of a zone were cut off
@@ -30,9 +30,9 @@
 
 #[test]
 fn instances_that_left_for_good_are_forgotten() {
-    let mut book = PresenceBook::default();
-    book.hear(0, "left");
-    book.hear(0, "also left");
-    assert!(is_mostly_away(book.hear(20_000, "stays")));
-    assert!(!is_mostly_away(book.hear(90_000, "stays")));
+    let mut book = PresenceTracker::default();
+    book.record_message(0, "left");
+    book.record_message(0, "also left");
+    assert!(is_majority_absent(book.record_message(20_000, "stays")));
+    assert!(!is_majority_absent(book.record_message(90_000, "stays")));
 }
--- a/crates/gateway/tests/retry.rs
+++ b/crates/gateway/tests/retry.rs
@@ -15,7 +15,7 @@
 
 #[test_case(CallKind::Once, Outcome::Unknown => Step::FailUnknown)]
 #[test_case(STREAM, Outcome::Unknown => Step::FailUnknown)]
-#[test_case(CallKind::Once, Outcome::Failed => Step::PassOn)]
+#[test_case(CallKind::Once, Outcome::Failed => Step::ForwardFailure)]
 #[test_case(CallKind::Idempotent, Outcome::Unknown => Step::SendAgain)]
 #[test_case(RESUMABLE, Outcome::Unknown => Step::SendAgain)]
 #[test_case(CallKind::Once, Outcome::Rejected => Step::SendAgain)]
@@ -77,7 +77,7 @@
             sent,
             ..Attempt::default()
         };
-        attempt.patience_ms(policy, 80, 1_200)
+        attempt.response_timeout_ms(policy, 80, 1_200)
     };
     assert!(
         patience(CallKind::Idempotent, 0) <= 400,
