--- a/crates/gateway/src/storage/answers.rs
+++ b/crates/gateway/src/storage/answers.rs
@@ -150,7 +150,7 @@
                 self.share_configuration(now_ms, known_revision)
             }
             MemberRequest::Presence { instance } => {
-                MemberResponse::Presence(self.presence.hear(now_ms, &instance))
+                MemberResponse::Presence(self.presence.record_message(now_ms, &instance))
             }
             MemberRequest::Endpoints { known } => self.share_endpoints(now_ms, known),
             _ => MemberResponse::NotVoting,
@@ -223,7 +223,7 @@
     }
 
     fn share_endpoints(&mut self, now_ms: u64, known: EndpointCursor) -> MemberResponse {
-        let Some(news) = self.endpoints.news_since(now_ms, known) else {
+        let Some(news) = self.endpoints.update_since(now_ms, known) else {
             return MemberResponse::Unavailable;
         };
         match postcard::to_stdvec(&news.changes) {
--- a/crates/gateway/tests/members.rs
+++ b/crates/gateway/tests/members.rs
@@ -12,7 +12,7 @@
 use futures::FutureExt;
 use jayreel_gateway::edge::{ChainLookup, Members};
 use jayreel_gateway::storage::{Event, Node};
-use jayreel_gateway::{AnswerFuture, LinkError, MemberLinks, now_ms};
+use jayreel_gateway::{AnswerFuture, LinkError, MemberClient, now_ms};
 use jayreel_ledger::{
     Decision, Group, Member, MemberRequest, MemberResponse, TurnRecord,
 };
@@ -95,7 +95,7 @@
 
 struct Direct(Rc<Cluster>);
 
-impl MemberLinks for Direct {
+impl MemberClient for Direct {
     fn ask(
         &self,
         member: &Member,
