--- a/crates/fleet/src/caretaker.rs
+++ b/crates/fleet/src/caretaker.rs
@@ -105,7 +105,9 @@
         });
         engines
             .filter(|(name, endpoint)| {
-                let live = self.membership.live_in(now_ms, &endpoint.availability_zone);
+                let live = self
+                    .membership
+                    .live_in_zone(now_ms, &endpoint.availability_zone);
                 let names = live.iter().map(String::as_str);
                 responsible_for(name, names) == Some(&self.settings.own.instance)
             })
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -163,10 +163,10 @@
             }
             FleetEvent::GrantsWritten { record, confirmed } => {
                 let transition = match confirmed {
-                    true => self.programs.grants_recorded(&record),
+                    true => self.programs.budget_record_written(&record),
                     false => {
                         self.next_grant_write_ms = now_ms + GRANT_RETRY_MS;
-                        self.programs.grants_failed()
+                        self.programs.budget_record_failed()
                     }
                 };
                 self.record(transition);
@@ -231,14 +231,14 @@
         // that refuses connections was asked once a millisecond.
         let is_paused = self.last_now_ms < self.next_grant_write_ms;
         if !is_paused && std::mem::take(&mut self.may_need_grant) {
-            let record = self.programs.grants_needed();
+            let record = self.programs.next_budget_record();
             self.effects.extend(record.map(FleetEffect::WriteBudget));
         }
         std::mem::take(&mut self.effects)
     }
 
     fn tick(&mut self, now_ms: u64) {
-        let ended = self.quota.end_loans(now_ms);
+        let ended = self.quota.return_expiring_loans(now_ms);
         self.send_returns(ended);
         self.quota.expire(now_ms);
         self.send_heartbeats(now_ms);
@@ -286,7 +286,7 @@
     pub(crate) fn home_in_force_ppm(&mut self, now_ms: u64) -> u32 {
         let configuration = self.configuration.as_ref();
         let customer = configuration.and_then(|c| c.customers.keys().next());
-        let key = customer.and_then(|customer| self.quota.ledger(customer));
+        let key = customer.and_then(|customer| self.quota.quota_key(customer));
         let share = key.and_then(|key| self.quota.share(now_ms, key));
         share.map_or(0, |share| share.home_ppm)
     }
--- a/crates/fleet/src/home.rs
+++ b/crates/fleet/src/home.rs
@@ -172,7 +172,7 @@
                 reclaimable: &self.home.absence.reclaimable(self.settings.home_term_ms),
                 held_ppm: self.quota.home_weight_ppm(now_ms),
                 in_force_ppm: self.quota.home_in_force_ppm(now_ms),
-                settled: self.quota.is_home_settled(now_ms),
+                within_home_weight: self.quota.is_within_home_weight(now_ms),
                 stopping: self.home.stopping,
             });
             match step {
--- a/crates/fleet/src/owners.rs
+++ b/crates/fleet/src/owners.rs
@@ -3,7 +3,7 @@
 use jayreel_membership::{Liveness, Membership};
 use jayreel_model::Incarnation;
 use jayreel_programs::{
-    Decision, MembershipFacts, OwnerFact, OwnerLiveness, OwnershipView,
+    Decision, OwnerLiveness, OwnerLookup, OwnerStatus, OwnershipView,
 };
 
 use jayreel_programs::ownership::decide;
@@ -16,8 +16,8 @@
     now_ms: u64,
 }
 
-impl MembershipFacts for Facts<'_> {
-    fn owner(&self, incarnation: &Incarnation) -> OwnerFact {
+impl OwnerLookup for Facts<'_> {
+    fn owner(&self, incarnation: &Incarnation) -> OwnerStatus {
         let liveness = match self.membership.liveness(self.now_ms, incarnation) {
             Liveness::Alive => OwnerLiveness::Alive,
             Liveness::Dead => OwnerLiveness::Dead,
@@ -25,7 +25,7 @@
             Liveness::Suspect => OwnerLiveness::Suspect,
         };
         let registrations = self.membership.registrations();
-        OwnerFact {
+        OwnerStatus {
             liveness,
             registration_absent_ms: registrations.absent_ms(self.now_ms, incarnation),
         }
@@ -47,7 +47,7 @@
         let view = OwnershipView {
             own: &self.settings.own,
             takeovers: &self.takeovers,
-            facts: &facts,
+            owners: &facts,
             takeover_delay_ms: self.settings.takeover_delay_ms,
         };
         decide(view, owner, was_forwarded)
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -28,12 +28,12 @@
             }
             PeerMessage::HandoverTaken => self.part_taken(now_ms),
             PeerMessage::Heartbeat(heartbeat) => {
-                self.membership.heard(now_ms, &heartbeat);
+                self.membership.record_heartbeat(now_ms, &heartbeat);
                 let answer = self.heartbeat();
                 self.send(from, PeerMessage::HeartbeatAnswer(answer));
             }
             PeerMessage::HeartbeatAnswer(heartbeat) => {
-                self.membership.heard(now_ms, &heartbeat);
+                self.membership.record_heartbeat(now_ms, &heartbeat);
             }
             PeerMessage::KeyedHandover(handover) => {
                 let part = handover.part;
@@ -68,7 +68,8 @@
             .iter()
             .map(|entry| (entry.incarnation.clone(), entry.availability_zone.clone()))
             .collect();
-        self.membership.registered(now_ms, sent_at_ms, &processes);
+        self.membership
+            .record_registrations(now_ms, sent_at_ms, &processes);
         let staying = registered.iter().filter(|entry| !entry.leaving);
         let by_name: BTreeMap<String, Incarnation> = staying
             .map(|entry| {
--- a/crates/fleet/src/program_step.rs
+++ b/crates/fleet/src/program_step.rs
@@ -2,8 +2,8 @@
 
 use jayreel_model::{Incarnation, Profile, Ran, Refusal, RefusalReason, RequestId};
 use jayreel_programs::{
-    Admission, CallFacts, Decision, KeyedAdmission, OpenRequest, ProgramToken,
-    Transition, Usage, ownership,
+    Admission, CallParams, Decision, KeyedAdmission, OpenRequest, ProgramEffects,
+    ProgramToken, Usage, ownership,
 };
 use jayreel_scheduler::effect::Reply;
 use jayreel_scheduler::event::{CallArrived, CallOperation};
@@ -232,7 +232,7 @@
     }
 
     /// Turns later answers of the programs into decisions.
-    pub(crate) fn record(&mut self, transition: Transition) {
+    pub(crate) fn record(&mut self, transition: ProgramEffects) {
         self.may_need_grant = true;
         for resolved in transition.resolved {
             let decision = self.decision(resolved.request_id, resolved.admission);
@@ -313,7 +313,7 @@
     }
 }
 
-fn call_facts(held: &HeldCall) -> Result<CallFacts, Refusal> {
+fn call_facts(held: &HeldCall) -> Result<CallParams, Refusal> {
     let arrived = &held.arrived;
     let prompt_bound_tokens = match &arrived.operation {
         CallOperation::Chat {
@@ -322,7 +322,7 @@
         } => *prompt_bound_tokens,
         _ => 0,
     };
-    Ok(CallFacts {
+    Ok(CallParams {
         request_id: arrived.request_id,
         repeatable: held.repeatable,
         turn: arrived.turn,
--- a/crates/fleet/src/quota_step.rs
+++ b/crates/fleet/src/quota_step.rs
@@ -16,7 +16,7 @@
     }
 
     fn take(&mut self, now_ms: u64, customer: &str) -> QuotaDecision {
-        let Some(key) = self.quota.ledger(customer) else {
+        let Some(key) = self.quota.quota_key(customer) else {
             return QuotaDecision::Short {
                 retry_after_ms: RETRY_AFTER_MS,
             };
@@ -32,13 +32,13 @@
     }
 
     fn sent(&mut self, now_ms: u64, customer: &str, taken_at_ms: u64) {
-        if let Some(key) = self.quota.ledger(customer) {
+        if let Some(key) = self.quota.quota_key(customer) {
             self.quota.sent(now_ms, key, taken_at_ms);
         }
     }
 
     fn give_back(&mut self, now_ms: u64, customer: &str, taken_at_ms: u64) {
-        if let Some(key) = self.quota.ledger(customer) {
+        if let Some(key) = self.quota.quota_key(customer) {
             self.quota.give_back(now_ms, key, taken_at_ms);
         }
     }
@@ -56,7 +56,7 @@
 
     /// Asks the next peer in turn for a part of its share.
     fn ask_for_loan(&mut self, now_ms: u64, customer: &str) {
-        let Some(key) = self.quota.ledger(customer) else {
+        let Some(key) = self.quota.quota_key(customer) else {
             return;
         };
         let peers = self.lenders();
--- a/crates/fleet/src/zone_loads.rs
+++ b/crates/fleet/src/zone_loads.rs
@@ -32,7 +32,7 @@
         zone: &str,
     ) -> ZoneLoads {
         let limit = self.zone_limit();
-        let mut live = self.membership.live_in(now_ms, zone);
+        let mut live = self.membership.live_in_zone(now_ms, zone);
         live.sort();
         let caretakers = first_caretakers(live, zone, limit);
         let count = caretakers.len().max(1);
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -47,7 +47,7 @@
 
     /// Takes note of the registered processes with their zones, as read from the store by
     /// a request sent at `sent_at_ms`.
-    pub fn registered(
+    pub fn record_registrations(
         &mut self,
         now_ms: u64,
         sent_at_ms: u64,
@@ -76,7 +76,7 @@
     }
 
     /// Takes note of a heartbeat, or of an answer to one.
-    pub fn heard(&mut self, now_ms: u64, heartbeat: &Heartbeat) {
+    pub fn record_heartbeat(&mut self, now_ms: u64, heartbeat: &Heartbeat) {
         let incarnation = &heartbeat.incarnation;
         self.add(now_ms, incarnation, &heartbeat.availability_zone);
         match self.peers.get_mut(&incarnation.instance) {
@@ -140,7 +140,7 @@
     /// Names of live and registered instances of an availability zone, this one included.
     /// All of them if there is none in the zone. An instance that is not registered may
     /// have no view of the registrations, so nothing is left to its care.
-    pub fn live_in(&self, now_ms: u64, availability_zone: &str) -> Vec<String> {
+    pub fn live_in_zone(&self, now_ms: u64, availability_zone: &str) -> Vec<String> {
         let present = self.registrations.present();
         let alive = |peer: &&Peer| self.peer_liveness(now_ms, peer) == Liveness::Alive;
         let registered = |peer: &&Peer| {
--- a/crates/membership/tests/peers.rs
+++ b/crates/membership/tests/peers.rs
@@ -33,7 +33,7 @@
 }
 
 fn heard(membership: &mut Membership, now_ms: u64) {
-    membership.heard(now_ms, &heartbeat("peer", 1, "z1"));
+    membership.record_heartbeat(now_ms, &heartbeat("peer", 1, "z1"));
 }
 
 fn liveness(membership: &Membership, now_ms: u64) -> Liveness {
@@ -122,7 +122,7 @@
         state: InstanceState::Leaving,
         ..heartbeat("peer", 1, "z1")
     };
-    membership.heard(0, &leaving);
+    membership.record_heartbeat(0, &leaving);
     assert_eq!(liveness(&membership, 0), Liveness::Leaving);
     assert_eq!(membership.live_peers(0), Vec::<String>::new());
     assert_eq!(liveness(&membership, 10_000), Liveness::Dead);
@@ -144,7 +144,7 @@
 fn peers_of_the_own_zone_come_first() {
     let mut membership = membership();
     for (name, zone) in [("a", "z2"), ("b", "z1"), ("c", "z3"), ("d", "z1")] {
-        membership.heard(0, &heartbeat(name, 1, zone));
+        membership.record_heartbeat(0, &heartbeat(name, 1, zone));
     }
     assert_eq!(membership.live_peers(0), ["b", "d", "a", "c"]);
     assert_eq!(membership.position(0).0, 5, "with the own instance");
@@ -154,7 +154,7 @@
 #[test]
 fn a_replaced_process_is_dead() {
     let mut membership = membership();
-    membership.registered(0, 0, &[(incarnation("peer", 2), "z1".to_string())]);
+    membership.record_registrations(0, 0, &[(incarnation("peer", 2), "z1".to_string())]);
     heard(&mut membership, 1);
     assert_eq!(liveness(&membership, 1), Liveness::Dead);
     assert_eq!(
@@ -168,10 +168,10 @@
 #[test]
 fn an_unregistered_process_does_not_displace_a_registered_one() {
     let mut membership = membership();
-    membership.registered(0, 0, &[(incarnation("peer", 1), "z1".to_string())]);
+    membership.record_registrations(0, 0, &[(incarnation("peer", 1), "z1".to_string())]);
     for now_ms in (0..60).map(|s| s * SECOND_MS) {
         heard(&mut membership, now_ms);
-        membership.heard(now_ms + 1, &heartbeat("peer", 2, "z1"));
+        membership.record_heartbeat(now_ms + 1, &heartbeat("peer", 2, "z1"));
         assert_eq!(liveness(&membership, now_ms + 2), Liveness::Alive);
     }
 }
@@ -180,8 +180,8 @@
 #[test]
 fn only_its_own_messages_keep_a_process_alive() {
     let mut membership = membership();
-    membership.registered(0, 0, &[(incarnation("peer", 1), "z1".to_string())]);
-    membership.heard(9_999, &heartbeat("peer", 2, "z1"));
+    membership.record_registrations(0, 0, &[(incarnation("peer", 1), "z1".to_string())]);
+    membership.record_heartbeat(9_999, &heartbeat("peer", 2, "z1"));
     assert_eq!(liveness(&membership, 10_000), Liveness::Dead);
 }
 
@@ -192,16 +192,16 @@
 fn a_dead_process_is_followed_while_the_registrations_cannot_be_read() {
     let registered = [(incarnation("peer", 1), "z1".to_string())];
     let mut membership = membership();
-    membership.registered(0, 0, &registered);
-    membership.registered(6 * SECOND_MS, 6 * SECOND_MS, &registered);
+    membership.record_registrations(0, 0, &registered);
+    membership.record_registrations(6 * SECOND_MS, 6 * SECOND_MS, &registered);
     let newer = heartbeat("peer", 2, "z1");
     // Dead, but the registrations were read 5 s ago.
-    membership.heard(11 * SECOND_MS, &newer);
+    membership.record_heartbeat(11 * SECOND_MS, &newer);
     assert_eq!(
         membership.incarnation("peer"),
         Some(&incarnation("peer", 1))
     );
-    membership.heard(12 * SECOND_MS, &newer);
+    membership.record_heartbeat(12 * SECOND_MS, &newer);
     assert_eq!(
         membership.incarnation("peer"),
         Some(&incarnation("peer", 2))
@@ -218,13 +218,13 @@
 #[test]
 fn nothing_is_left_to_the_care_of_an_unregistered_instance() {
     let mut membership = membership();
-    membership.registered(0, 0, &[(incarnation("peer", 1), "z2".to_string())]);
-    membership.heard(0, &heartbeat("peer", 1, "z2"));
-    membership.heard(0, &heartbeat("new", 1, "z2"));
-    membership.heard(0, &heartbeat("newer", 1, "z3"));
-    assert_eq!(membership.live_in(0, "z2"), ["peer"]);
+    membership.record_registrations(0, 0, &[(incarnation("peer", 1), "z2".to_string())]);
+    membership.record_heartbeat(0, &heartbeat("peer", 1, "z2"));
+    membership.record_heartbeat(0, &heartbeat("new", 1, "z2"));
+    membership.record_heartbeat(0, &heartbeat("newer", 1, "z3"));
+    assert_eq!(membership.live_in_zone(0, "z2"), ["peer"]);
     assert_eq!(
-        membership.live_in(0, "z3"),
+        membership.live_in_zone(0, "z3"),
         ["peer", "own"],
         "none in the zone"
     );
@@ -235,7 +235,7 @@
 #[test]
 fn a_dead_unregistered_peer_is_forgotten_without_the_store() {
     let mut membership = membership();
-    membership.registered(0, 0, &[(incarnation("old", 1), "z1".to_string())]);
+    membership.record_registrations(0, 0, &[(incarnation("old", 1), "z1".to_string())]);
     heard(&mut membership, SECOND_MS);
     membership.due_heartbeats(10 * SECOND_MS);
     assert!(membership.known_peers().contains(&"peer".to_string()));
@@ -249,9 +249,9 @@
 fn a_peer_that_answers_is_kept_without_registration() {
     let mut membership = membership();
     heard(&mut membership, 0);
-    membership.registered(1_000, 1_000, &[]);
+    membership.record_registrations(1_000, 1_000, &[]);
     assert_eq!(liveness(&membership, 1_000), Liveness::Alive);
-    membership.registered(10_000, 10_000, &[]);
+    membership.record_registrations(10_000, 10_000, &[]);
     assert_eq!(membership.incarnation("peer"), None);
 }
 
@@ -274,6 +274,6 @@
         config_revision: 3,
         ..heartbeat("peer", 1, "z1")
     };
-    membership.heard(1, &older);
+    membership.record_heartbeat(1, &older);
     assert_eq!(membership.newest_revision(), 7);
 }
--- a/crates/programs/src/admission.rs
+++ b/crates/programs/src/admission.rs
@@ -7,7 +7,7 @@
 
 /// What admission needs to know of a call.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct CallFacts {
+pub struct CallParams {
     /// The call.
     pub request_id: RequestId,
     /// Whether the call may run twice without harm. True for model calls.
@@ -34,10 +34,10 @@
         /// The turn of the call within its program.
         turn: u32,
     },
-    /// An earlier call of the program has not ended. A later [`Transition`] answers.
+    /// An earlier call of the program has not ended. A later [`ProgramEffects`] answers.
     Wait,
-    /// The program's recorded grant is too small. A later [`Transition`] answers, after
-    /// [`Programs::grants_needed`](crate::Programs::grants_needed) was written.
+    /// The program's recorded grant is too small. A later [`ProgramEffects`] answers, after
+    /// [`Programs::next_budget_record`](crate::Programs::next_budget_record) was written.
     NeedsGrant,
     /// The call may not run.
     Refuse(Refusal),
@@ -45,7 +45,7 @@
 
 /// A later answer to a call that was told to wait.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Resolved {
+pub struct DeferredAdmission {
     /// The call.
     pub request_id: RequestId,
     /// Never [`Admission::Wait`].
@@ -77,9 +77,9 @@
 /// What a change brought about for other calls and programs.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[must_use]
-pub struct Transition {
+pub struct ProgramEffects {
     /// Answers to waiting calls.
-    pub resolved: Vec<Resolved>,
+    pub resolved: Vec<DeferredAdmission>,
     /// Programs that ended.
     pub ended: Vec<EndedProgram>,
 }
--- a/crates/programs/src/calls.rs
+++ b/crates/programs/src/calls.rs
@@ -3,7 +3,9 @@
 use jayreel_model::{Ran, Refusal, RefusalReason, RequestId};
 
 use crate::account::{Account, Reservation};
-use crate::admission::{Admission, CallFacts, EndReason, Resolved, Transition, Usage};
+use crate::admission::{
+    Admission, CallParams, DeferredAdmission, EndReason, ProgramEffects, Usage,
+};
 use crate::checks::{check_epoch, check_key, check_turn, turn_refusal};
 use crate::idempotency::{KeyDigest, KeyState};
 use crate::program::{Program, ProgramId, RunningCall, WaitingCall};
@@ -23,7 +25,7 @@
         &mut self,
         now_ms: u64,
         program: ProgramId,
-        facts: CallFacts,
+        facts: CallParams,
     ) -> Admission {
         match self.check(program, &facts) {
             Ok(key) => self.enqueue(now_ms, program, WaitingCall { facts, key }),
@@ -38,21 +40,26 @@
         now_ms: u64,
         request_id: RequestId,
         usage: Option<Usage>,
-    ) -> Transition {
+    ) -> ProgramEffects {
         self.end_call(now_ms, request_id, Ran::Yes, usage)
     }
 
     /// Ends a call that failed, whether it waits or runs. If it did not run, its turn, its
     /// idempotency key and its reservation are given back; otherwise the reservation
     /// counts as used.
-    pub fn fail(&mut self, now_ms: u64, request_id: RequestId, ran: Ran) -> Transition {
+    pub fn fail(
+        &mut self,
+        now_ms: u64,
+        request_id: RequestId,
+        ran: Ran,
+    ) -> ProgramEffects {
         let program = self.calls.get(&request_id).copied();
         let runs = program
             .and_then(|id| self.programs.get(&id))
             .and_then(|program| program.running.as_ref())
             .is_some_and(|call| call.request_id == request_id);
         match (program, runs) {
-            (None, _) => Transition::default(),
+            (None, _) => ProgramEffects::default(),
             (Some(_), true) => self.end_call(now_ms, request_id, ran, None),
             (Some(id), false) => self.withdraw(now_ms, id, request_id),
         }
@@ -61,7 +68,7 @@
     fn check(
         &self,
         id: ProgramId,
-        facts: &CallFacts,
+        facts: &CallParams,
     ) -> Result<Option<KeyDigest>, Refusal> {
         self.check_serving()?;
         let program = self.programs.get(&id).ok_or_else(ended_refusal)?;
@@ -95,7 +102,7 @@
         if !is_first {
             return Admission::Wait;
         }
-        let mut transition = Transition::default();
+        let mut transition = ProgramEffects::default();
         self.start_next(id, &mut transition);
         match transition.resolved.pop() {
             Some(resolved) => resolved.admission,
@@ -104,13 +111,13 @@
     }
 
     /// Starts the first waiting call, or refuses it and tries the next.
-    pub(crate) fn start_next(&mut self, id: ProgramId, transition: &mut Transition) {
+    pub(crate) fn start_next(&mut self, id: ProgramId, transition: &mut ProgramEffects) {
         while let Some((request_id, admission)) = self.try_start(id) {
             let is_refused = matches!(admission, Admission::Refuse(_));
             if is_refused {
                 self.calls.remove(&request_id);
             }
-            transition.resolved.push(Resolved {
+            transition.resolved.push(DeferredAdmission {
                 request_id,
                 admission,
             });
@@ -160,8 +167,8 @@
         request_id: RequestId,
         ran: Ran,
         usage: Option<Usage>,
-    ) -> Transition {
-        let mut transition = Transition::default();
+    ) -> ProgramEffects {
+        let mut transition = ProgramEffects::default();
         let Some(id) = self.calls.get(&request_id).copied() else {
             return transition;
         };
@@ -186,7 +193,12 @@
         transition
     }
 
-    fn after_call(&mut self, now_ms: u64, id: ProgramId, transition: &mut Transition) {
+    fn after_call(
+        &mut self,
+        now_ms: u64,
+        id: ProgramId,
+        transition: &mut ProgramEffects,
+    ) {
         let Some(program) = self.programs.get_mut(&id) else {
             return;
         };
@@ -208,7 +220,11 @@
     }
 
     /// Tries calls that waited for a grant, since a settled call may have left enough.
-    pub(crate) fn retry_account(&mut self, root: &CacheTag, transition: &mut Transition) {
+    pub(crate) fn retry_account(
+        &mut self,
+        root: &CacheTag,
+        transition: &mut ProgramEffects,
+    ) {
         let members = self.accounts.get(root).map(|entry| entry.members.clone());
         for id in members.into_iter().flatten() {
             let waits = self
@@ -226,8 +242,8 @@
         now_ms: u64,
         id: ProgramId,
         request_id: RequestId,
-    ) -> Transition {
-        let mut transition = Transition::default();
+    ) -> ProgramEffects {
+        let mut transition = ProgramEffects::default();
         self.calls.remove(&request_id);
         let Some(program) = self.programs.get_mut(&id) else {
             return transition;
@@ -271,7 +287,7 @@
 fn reserve(
     program: &Program,
     account: &mut Account,
-    facts: &CallFacts,
+    facts: &CallParams,
 ) -> Result<Reservation, Refusal> {
     let next = program.next_turn.or(facts.turn).unwrap_or(0);
     match facts.turn {
--- a/crates/programs/src/checks.rs
+++ b/crates/programs/src/checks.rs
@@ -2,7 +2,7 @@
 
 use jayreel_model::{Incarnation, Ran, Refusal, RefusalReason};
 
-use crate::admission::CallFacts;
+use crate::admission::CallParams;
 use crate::idempotency::{KeyDigest, KeyState};
 use crate::program::Program;
 
@@ -10,7 +10,7 @@
 /// Without the header it names the incarnation that opened the program.
 pub(crate) fn check_epoch(
     program: &Program,
-    facts: &CallFacts,
+    facts: &CallParams,
     own: &Incarnation,
 ) -> Result<(), Refusal> {
     let epoch = facts.epoch.as_ref().unwrap_or(&program.token.owner);
@@ -29,7 +29,7 @@
 
 pub(crate) fn check_key(
     program: &Program,
-    facts: &CallFacts,
+    facts: &CallParams,
 ) -> Result<Option<KeyDigest>, Refusal> {
     let Some(text) = &facts.idempotency_key else {
         return Ok(None);
@@ -43,7 +43,7 @@
     }
 }
 
-pub(crate) fn check_turn(program: &Program, facts: &CallFacts) -> Result<(), Refusal> {
+pub(crate) fn check_turn(program: &Program, facts: &CallParams) -> Result<(), Refusal> {
     let expected = program.expected_turn().or(facts.turn).unwrap_or(0);
     if let Some(turn) = facts.turn.filter(|turn| *turn != expected) {
         return Err(turn_refusal(turn, expected));
--- a/crates/programs/src/grants.rs
+++ b/crates/programs/src/grants.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::account::Account;
-use crate::admission::{Admission, Resolved, Transition};
+use crate::admission::{Admission, DeferredAdmission, ProgramEffects};
 use crate::program::{Program, ProgramId};
 use crate::programs::{Programs, ended_refusal};
 use crate::token::{CacheTag, ProgramToken};
@@ -107,9 +107,9 @@
 
 impl Programs {
     /// The record to write next, if any program needs a larger grant. Returns `None` until
-    /// the last one was answered by [`Programs::grants_recorded`] or
-    /// [`Programs::grants_failed`].
-    pub fn grants_needed(&mut self) -> Option<BudgetRecord> {
+    /// the last one was answered by [`Programs::budget_record_written`] or
+    /// [`Programs::budget_record_failed`].
+    pub fn next_budget_record(&mut self) -> Option<BudgetRecord> {
         let is_needed = self
             .accounts
             .values()
@@ -123,14 +123,14 @@
 
     /// Takes note of a record that the store confirmed, either in the answer to the write
     /// or by reading it back. Calls that waited for it may run.
-    pub fn grants_recorded(&mut self, record: &BudgetRecord) -> Transition {
+    pub fn budget_record_written(&mut self, record: &BudgetRecord) -> ProgramEffects {
         self.grant_write_pending = false;
         let own = self.config.own.clone();
         let live = record.live.iter().map(|grant| (own.clone(), *grant));
         let adopted = record.adopted.iter().flat_map(|(owner, grants)| {
             grants.iter().map(|grant| (owner.clone(), *grant))
         });
-        let mut transition = Transition::default();
+        let mut transition = ProgramEffects::default();
         for (owner, (sequence, granted_tokens)) in live.chain(adopted) {
             let root = CacheTag { owner, sequence };
             if let Some(entry) = self.accounts.get_mut(&root) {
@@ -142,7 +142,7 @@
     }
 
     /// Takes note that no record was confirmed. The calls that waited for it are refused.
-    pub fn grants_failed(&mut self) -> Transition {
+    pub fn budget_record_failed(&mut self) -> ProgramEffects {
         self.grant_write_pending = false;
         for entry in self.accounts.values_mut() {
             entry.account.wanted_tokens = entry.account.granted_tokens;
@@ -153,7 +153,7 @@
             .filter(|(_, program)| program.needs_grant)
             .map(|(id, _)| *id)
             .collect();
-        let mut transition = Transition::default();
+        let mut transition = ProgramEffects::default();
         for id in waiting {
             self.refuse_first(id, &mut transition);
             self.start_next(id, &mut transition);
@@ -233,7 +233,7 @@
         record
     }
 
-    fn refuse_first(&mut self, id: ProgramId, transition: &mut Transition) {
+    fn refuse_first(&mut self, id: ProgramId, transition: &mut ProgramEffects) {
         let Some(program) = self.programs.get_mut(&id) else {
             return;
         };
@@ -241,7 +241,7 @@
             return;
         };
         self.calls.remove(&call.facts.request_id);
-        transition.resolved.push(Resolved {
+        transition.resolved.push(DeferredAdmission {
             request_id: call.facts.request_id,
             admission: Admission::Refuse(Refusal::not_run(
                 RefusalReason::StoreUnavailable,
--- a/crates/programs/src/lib.rs
+++ b/crates/programs/src/lib.rs
@@ -11,9 +11,9 @@
 //!    reads the takeover records, then the budget records of all
 //!    [`Takeovers::predecessors`], passes these to [`Programs::adopt`], and decides again.
 //! 3. [`Programs::resolve`] and [`Programs::admit`].
-//! 4. [`Programs::finish`] or [`Programs::fail`], each with a [`Transition`] that answers
+//! 4. [`Programs::finish`] or [`Programs::fail`], each with a [`ProgramEffects`] that answers
 //!    other calls. [`Programs::fail`] also withdraws a call that waits.
-//! 5. From time to time [`Programs::grants_needed`], whose record is written as described in
+//! 5. From time to time [`Programs::next_budget_record`], whose record is written as described in
 //!    [`grants`], and [`Programs::expire`].
 //!
 //! When an instance learns of a successor of its own it calls [`Programs::supersede`].
@@ -35,8 +35,10 @@
 pub mod programs;
 pub mod token;
 
-pub use crate::admission::{Admission, CallFacts, EndReason, EndedProgram, Resolved};
-pub use crate::admission::{Transition, Usage};
+pub use crate::admission::{
+    Admission, CallParams, DeferredAdmission, EndReason, EndedProgram,
+};
+pub use crate::admission::{ProgramEffects, Usage};
 pub use crate::calls::MAX_WAITING_CALLS;
 pub use crate::grants::BudgetRecord;
 pub use crate::handover::{Handover, ProgramRecord};
@@ -44,7 +46,7 @@
 pub use crate::keyed_handover::KeyedHandover;
 pub use crate::open::{OpenRequest, OpenedProgram};
 pub use crate::ownership::{
-    Decision, MembershipFacts, OwnerFact, OwnerLiveness, OwnershipView, TakeoverRecord,
+    Decision, OwnerLiveness, OwnerLookup, OwnerStatus, OwnershipView, TakeoverRecord,
     Takeovers,
 };
 pub use crate::program::ProgramId;
--- a/crates/programs/src/lifetime.rs
+++ b/crates/programs/src/lifetime.rs
@@ -2,7 +2,7 @@
 
 use jayreel_model::{Incarnation, Refusal, RefusalReason};
 
-use crate::admission::{Admission, EndReason, Resolved, Transition};
+use crate::admission::{Admission, DeferredAdmission, EndReason, ProgramEffects};
 use crate::grants::BudgetRecord;
 use crate::program::ProgramId;
 use crate::programs::{Programs, ended, ended_refusal};
@@ -10,13 +10,13 @@
 impl Programs {
     /// Stops serving after another incarnation was recorded as successor of this one.
     /// Waiting calls are refused as not run; running calls end normally.
-    pub fn supersede(&mut self) -> Transition {
+    pub fn supersede(&mut self) -> ProgramEffects {
         self.stopped = true;
         let refusal = Refusal::not_run(
             RefusalReason::OwnerUnavailable,
             "another instance took over the program",
         );
-        let mut transition = Transition::default();
+        let mut transition = ProgramEffects::default();
         let ids: Vec<ProgramId> = self.programs.keys().copied().collect();
         for id in ids {
             self.refuse_waiting(id, &refusal, &mut transition);
@@ -59,7 +59,7 @@
         now_ms: u64,
         id: ProgramId,
         reason: EndReason,
-        transition: &mut Transition,
+        transition: &mut ProgramEffects,
     ) {
         self.refuse_waiting(id, &ended_refusal(), transition);
         let Some(program) = self.programs.get_mut(&id) else {
@@ -75,7 +75,7 @@
         &mut self,
         id: ProgramId,
         refusal: &Refusal,
-        transition: &mut Transition,
+        transition: &mut ProgramEffects,
     ) {
         let Some(program) = self.programs.get_mut(&id) else {
             return;
@@ -86,7 +86,7 @@
                 program.keys.remove(&key);
             }
             self.calls.remove(&call.facts.request_id);
-            transition.resolved.push(Resolved {
+            transition.resolved.push(DeferredAdmission {
                 request_id: call.facts.request_id,
                 admission: Admission::Refuse(refusal.clone()),
             });
@@ -99,7 +99,7 @@
         now_ms: u64,
         id: ProgramId,
         reason: EndReason,
-        transition: &mut Transition,
+        transition: &mut ProgramEffects,
     ) {
         let Some(program) = self.programs.remove(&id) else {
             return;
--- a/crates/programs/src/ownership.rs
+++ b/crates/programs/src/ownership.rs
@@ -94,7 +94,7 @@
 
 /// What an instance knows of the incarnation that owns a program.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct OwnerFact {
+pub struct OwnerStatus {
     /// Its liveness.
     pub liveness: OwnerLiveness,
     /// For how long its registration has been absent beyond its lease, in milliseconds of
@@ -104,9 +104,9 @@
 }
 
 /// Knowledge of other incarnations.
-pub trait MembershipFacts {
+pub trait OwnerLookup {
     /// What is known of an incarnation. One never heard of is `Dead`.
-    fn owner(&self, incarnation: &Incarnation) -> OwnerFact;
+    fn owner(&self, incarnation: &Incarnation) -> OwnerStatus;
 }
 
 /// What an instance decides ownership by.
@@ -117,7 +117,7 @@
     /// Known takeover records.
     pub takeovers: &'a Takeovers,
     /// Knowledge of other incarnations.
-    pub facts: &'a dyn MembershipFacts,
+    pub owners: &'a dyn OwnerLookup,
     /// Time for which a registration must be absent before a takeover.
     pub takeover_delay_ms: u64,
 }
@@ -154,7 +154,7 @@
     if responsible == view.own {
         return Decision::Serve;
     }
-    let fact = view.facts.owner(responsible);
+    let fact = view.owners.owner(responsible);
     match fact.liveness {
         _ if was_forwarded => Decision::Refuse(not_responsible()),
         OwnerLiveness::Alive | OwnerLiveness::Leaving => Decision::Forward {
@@ -173,7 +173,7 @@
 }
 
 /// Whether a takeover may be claimed by compare-and-swap.
-pub fn may_claim(fact: OwnerFact, takeover_delay_ms: u64) -> bool {
+pub fn may_claim(fact: OwnerStatus, takeover_delay_ms: u64) -> bool {
     let absent_ms = fact.registration_absent_ms;
     fact.liveness == OwnerLiveness::Dead
         && absent_ms.is_some_and(|absent_ms| absent_ms >= takeover_delay_ms)
--- a/crates/programs/src/program.rs
+++ b/crates/programs/src/program.rs
@@ -4,7 +4,7 @@
 
 use jayreel_model::{Incarnation, Profile, RequestId};
 
-use crate::admission::CallFacts;
+use crate::admission::CallParams;
 use crate::idempotency::{KeyDigest, KeyState};
 use crate::token::{CacheTag, ProgramToken};
 
@@ -24,7 +24,7 @@
 /// A call that waits for an earlier one or for a grant.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct WaitingCall {
-    pub(crate) facts: CallFacts,
+    pub(crate) facts: CallParams,
     pub(crate) key: Option<KeyDigest>,
 }
 
--- a/crates/programs/src/programs.rs
+++ b/crates/programs/src/programs.rs
@@ -5,7 +5,7 @@
 use jayreel_model::{Incarnation, Profile, Refusal, RefusalReason, RequestId};
 
 use crate::account::Account;
-use crate::admission::{EndReason, EndedProgram, Transition};
+use crate::admission::{EndReason, EndedProgram, ProgramEffects};
 use crate::grants::{BudgetRecord, MAX_RECORD_BYTES};
 use crate::program::{Program, ProgramId};
 use crate::token::{CacheTag, ProgramToken};
@@ -100,8 +100,8 @@
 
     /// Closes a program and its sub-agents. Waiting calls are refused; a running call ends
     /// first, and its program is reported as ended by that transition.
-    pub fn close(&mut self, now_ms: u64, program: ProgramId) -> Transition {
-        let mut transition = Transition::default();
+    pub fn close(&mut self, now_ms: u64, program: ProgramId) -> ProgramEffects {
+        let mut transition = ProgramEffects::default();
         for id in self.with_descendants(program) {
             self.close_one(now_ms, id, EndReason::Closed, &mut transition);
         }
@@ -110,14 +110,14 @@
 
     /// Ends programs without a call for their idle time. A program with an active
     /// sub-agent is not idle.
-    pub fn expire(&mut self, now_ms: u64) -> Transition {
+    pub fn expire(&mut self, now_ms: u64) -> ProgramEffects {
         let idle: Vec<ProgramId> = self
             .programs
             .iter()
             .filter(|(_, program)| program.is_idle(now_ms))
             .map(|(id, _)| *id)
             .collect();
-        let mut transition = Transition::default();
+        let mut transition = ProgramEffects::default();
         for id in idle {
             self.end(now_ms, id, EndReason::Idle, &mut transition);
         }
--- a/crates/programs/tests/budget.rs
+++ b/crates/programs/tests/budget.rs
@@ -123,11 +123,11 @@
         Admission::NeedsGrant
     );
     assert_eq!(programs.admit(0, id, call(2)), Admission::Wait);
-    let record = programs.grants_needed().expect("a grant is needed");
+    let record = programs.next_budget_record().expect("a grant is needed");
     assert_eq!(record.live, [(1, 500)]);
-    assert_eq!(programs.grants_needed(), None, "one write at a time");
+    assert_eq!(programs.next_budget_record(), None, "one write at a time");
     let read_back = BudgetRecord::decode(&record.encode()).expect("a record");
-    let transition = programs.grants_recorded(&read_back);
+    let transition = programs.budget_record_written(&read_back);
     assert_eq!(transition.resolved.len(), 1);
     assert!(runs(&transition.resolved[0].admission));
 }
@@ -141,8 +141,8 @@
         Admission::NeedsGrant
     );
     assert_eq!(programs.admit(0, id, call(2)), Admission::Wait);
-    assert!(programs.grants_needed().is_some());
-    let mut resolved = programs.grants_failed().resolved;
+    assert!(programs.next_budget_record().is_some());
+    let mut resolved = programs.budget_record_failed().resolved;
     assert!(
         runs(&resolved.remove(1).admission),
         "the next call needs no tokens"
@@ -167,7 +167,7 @@
         owner.admit(0, opened.program, model_call(1, 550, 1)),
         Admission::NeedsGrant
     );
-    let record = owner.grants_needed().expect("a grant is needed");
+    let record = owner.next_budget_record().expect("a grant is needed");
     let later = open(&mut owner, None).token;
     assert_eq!(successor_charges(&opened.token, Some(record.clone())), 551);
     assert_eq!(successor_charges(&later, Some(record)), 250);
@@ -181,7 +181,7 @@
     let id = resolve(&mut successor, &token);
     let answer = successor.admit(0, id, model_call(1, 1, 1));
     assert_eq!(answer, Admission::NeedsGrant);
-    let record = successor.grants_needed().expect("a grant is needed");
+    let record = successor.next_budget_record().expect("a grant is needed");
     let mut second = process("c.1");
     second.adopt(incarnation("a.1"), None);
     second.adopt(incarnation("b.1"), Some(record));
@@ -200,7 +200,7 @@
         Admission::NeedsGrant
     );
     let mut successor = process("b.1");
-    successor.adopt(incarnation("a.1"), owner.grants_needed());
+    successor.adopt(incarnation("a.1"), owner.next_budget_record());
     let refused = successor.resolve(0, &closed.token, &profile());
     assert_eq!(
         refused.expect_err("refused").reason,
@@ -232,7 +232,7 @@
         programs.admit(0, id, model_call(1, 250, 1)),
         Admission::NeedsGrant
     );
-    let record = programs.grants_needed().expect("a grant is needed");
+    let record = programs.next_budget_record().expect("a grant is needed");
     assert!(record.live.len() > 1_000);
     assert!(record.encode().len() <= MAX_RECORD_BYTES);
 }
--- a/crates/programs/tests/lifetime.rs
+++ b/crates/programs/tests/lifetime.rs
@@ -5,8 +5,8 @@
 
 use jayreel_model::{Ran, RefusalReason, RequestId};
 use jayreel_programs::{
-    Admission, CacheTag, CallFacts, EndReason, Handover, OpenedProgram, Programs,
-    Transition,
+    Admission, CacheTag, CallParams, EndReason, Handover, OpenedProgram, ProgramEffects,
+    Programs,
 };
 use support::{
     LIFETIME_S, action, call, incarnation, model_call, open, process, profile,
@@ -15,7 +15,7 @@
 
 const IDLE_MS: u64 = 900_000;
 
-fn tags(transition: &Transition) -> Vec<CacheTag> {
+fn tags(transition: &ProgramEffects) -> Vec<CacheTag> {
     transition
         .ended
         .iter()
@@ -171,7 +171,7 @@
         let answer = successor.admit(
             0,
             id,
-            CallFacts {
+            CallParams {
                 epoch,
                 ..action(1, "k")
             },
@@ -190,7 +190,7 @@
     assert!(runs(&successor.admit(
         0,
         id,
-        CallFacts {
+        CallParams {
             epoch,
             ..action(3, "k")
         }
--- a/crates/programs/tests/order.rs
+++ b/crates/programs/tests/order.rs
@@ -3,12 +3,12 @@
 mod support;
 
 use jayreel_model::{Ran, RefusalReason, RequestId};
-use jayreel_programs::{Admission, CallFacts, MAX_WAITING_CALLS};
+use jayreel_programs::{Admission, CallParams, MAX_WAITING_CALLS};
 use support::{action, call, incarnation, open, process, refusal, runs};
 use test_case::test_case;
 
-fn with_turn(number: u64, turn: u32) -> CallFacts {
-    CallFacts {
+fn with_turn(number: u64, turn: u32) -> CallParams {
+    CallParams {
         turn: Some(turn),
         ..call(number)
     }
@@ -58,7 +58,7 @@
 fn a_call_that_did_not_run_gives_back_its_turn_and_key() {
     let mut programs = process("a.1");
     let id = open(&mut programs, None).program;
-    let first = CallFacts {
+    let first = CallParams {
         turn: Some(0),
         ..action(1, "k")
     };
@@ -67,7 +67,7 @@
     let mut transition = programs.fail(0, RequestId(1), Ran::No);
     let overtaking = transition.resolved.remove(0).admission;
     assert_eq!(refusal(overtaking), (RefusalReason::WrongTurn, Ran::No));
-    let again = CallFacts {
+    let again = CallParams {
         turn: Some(0),
         ..action(3, "k")
     };
@@ -84,7 +84,7 @@
     if let Some(ran) = ended {
         let _ = programs.fail(0, RequestId(1), ran);
     }
-    let repeat = CallFacts {
+    let repeat = CallParams {
         turn: Some(0),
         ..action(2, "k")
     };
@@ -98,7 +98,7 @@
     let id = open(&mut programs, None).program;
     assert!(runs(&programs.admit(0, id, action(1, "k"))));
     let _ = programs.fail(0, RequestId(1), Ran::Unknown);
-    let repeatable = CallFacts {
+    let repeatable = CallParams {
         repeatable: true,
         ..action(2, "k")
     };
@@ -146,7 +146,7 @@
     let answer = programs.admit(
         0,
         id,
-        CallFacts {
+        CallParams {
             epoch,
             ..action(1, "k")
         },
--- a/crates/programs/tests/ownership.rs
+++ b/crates/programs/tests/ownership.rs
@@ -5,16 +5,16 @@
 use jayreel_model::{Incarnation, Ran, RefusalReason};
 use jayreel_programs::ownership::decide;
 use jayreel_programs::{
-    Decision, MembershipFacts, OwnerFact, OwnerLiveness, OwnershipView, TakeoverRecord,
+    Decision, OwnerLiveness, OwnerLookup, OwnerStatus, OwnershipView, TakeoverRecord,
     Takeovers,
 };
 use support::incarnation;
 use test_case::test_case;
 
-struct Facts(OwnerFact);
+struct Facts(OwnerStatus);
 
-impl MembershipFacts for Facts {
-    fn owner(&self, _incarnation: &Incarnation) -> OwnerFact {
+impl OwnerLookup for Facts {
+    fn owner(&self, _incarnation: &Incarnation) -> OwnerStatus {
         self.0
     }
 }
@@ -27,7 +27,7 @@
     takeovers: &Takeovers,
     was_forwarded: bool,
 ) -> Decision {
-    let facts = Facts(OwnerFact {
+    let facts = Facts(OwnerStatus {
         liveness,
         registration_absent_ms: absent_ms,
     });
@@ -35,7 +35,7 @@
     let view = OwnershipView {
         own: &own,
         takeovers,
-        facts: &facts,
+        owners: &facts,
         takeover_delay_ms: DELAY_MS,
     };
     decide(view, &incarnation("a.1"), was_forwarded)
--- a/crates/programs/tests/properties.rs
+++ b/crates/programs/tests/properties.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use jayreel_model::{Ran, RequestId};
-use jayreel_programs::{Admission, CallFacts, ProgramId, Programs, Transition};
+use jayreel_programs::{Admission, CallParams, ProgramEffects, ProgramId, Programs};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use support::{BUDGET_TOKENS, model_call, open, process, usage};
@@ -64,7 +64,7 @@
 #[derive(Default)]
 struct Observer {
     running: BTreeMap<RequestId, Running>,
-    waiting: BTreeMap<RequestId, CallFacts>,
+    waiting: BTreeMap<RequestId, CallParams>,
     keys: BTreeMap<(ProgramId, String), u32>,
     recorded_tokens: u64,
     next_call: u64,
@@ -74,7 +74,7 @@
     fn answer(
         &mut self,
         program: ProgramId,
-        facts: CallFacts,
+        facts: CallParams,
         answer: Admission,
     ) -> Result<(), TestCaseError> {
         let id = facts.request_id;
@@ -110,7 +110,7 @@
         &mut self,
         programs: &[ProgramId],
         owners: &BTreeMap<RequestId, usize>,
-        transition: Transition,
+        transition: ProgramEffects,
     ) -> Result<(), TestCaseError> {
         for resolved in transition.resolved {
             let facts = self.waiting.remove(&resolved.request_id);
@@ -187,7 +187,7 @@
                 let used = usage(tokens.min(reserved_tokens)).filter(|_| is_known);
                 programs.finish(0, id, used)
             }
-            _ => Transition::default(),
+            _ => ProgramEffects::default(),
         },
         Step::Fail { call, ran } => match nth(seen, call) {
             Some((id, Some(_))) => {
@@ -201,15 +201,15 @@
                 seen.waiting.remove(&id);
                 programs.fail(0, id, ran)
             }
-            None => Transition::default(),
+            None => ProgramEffects::default(),
         },
-        Step::Write { is_confirmed } => match programs.grants_needed() {
+        Step::Write { is_confirmed } => match programs.next_budget_record() {
             Some(record) if is_confirmed => {
                 seen.recorded_tokens = record.live[0].1;
-                programs.grants_recorded(&record)
+                programs.budget_record_written(&record)
             }
-            Some(_) => programs.grants_failed(),
-            None => Transition::default(),
+            Some(_) => programs.budget_record_failed(),
+            None => ProgramEffects::default(),
         },
         Step::Close { program } => programs.close(0, ids[program]),
     };
--- a/crates/programs/tests/support/mod.rs
+++ b/crates/programs/tests/support/mod.rs
@@ -3,7 +3,7 @@
 
 use jayreel_model::{Incarnation, Profile, Ran, RefusalReason, RequestId};
 use jayreel_programs::{
-    Admission, CallFacts, OpenRequest, OpenedProgram, ProgramId, ProgramToken, Programs,
+    Admission, CallParams, OpenRequest, OpenedProgram, ProgramId, ProgramToken, Programs,
     ProgramsConfig, Usage,
 };
 
@@ -57,8 +57,8 @@
 }
 
 /// A repeatable call without tokens.
-pub fn call(number: u64) -> CallFacts {
-    CallFacts {
+pub fn call(number: u64) -> CallParams {
+    CallParams {
         request_id: RequestId(number),
         repeatable: true,
         turn: None,
@@ -69,8 +69,8 @@
     }
 }
 
-pub fn model_call(number: u64, prompt_tokens: u64, max_tokens: u64) -> CallFacts {
-    CallFacts {
+pub fn model_call(number: u64, prompt_tokens: u64, max_tokens: u64) -> CallParams {
+    CallParams {
         prompt_bound_tokens: prompt_tokens,
         max_tokens,
         ..call(number)
@@ -78,9 +78,9 @@
 }
 
 /// A non-repeatable call with a key.
-pub fn action(number: u64, key: &str) -> CallFacts {
+pub fn action(number: u64, key: &str) -> CallParams {
     let idempotency_key = Some(key.to_string());
-    CallFacts {
+    CallParams {
         repeatable: false,
         idempotency_key,
         ..call(number)
@@ -108,8 +108,8 @@
 /// Records all grants that are needed, as a store without faults does.
 pub fn record_grants(programs: &mut Programs) -> Vec<(RequestId, Admission)> {
     let mut resolved = Vec::new();
-    while let Some(record) = programs.grants_needed() {
-        let transition = programs.grants_recorded(&record);
+    while let Some(record) = programs.next_budget_record() {
+        let transition = programs.budget_record_written(&record);
         let answers = transition.resolved.into_iter();
         resolved.extend(answers.map(|one| (one.request_id, one.admission)));
     }
--- a/crates/quota/src/home_weights/plan.rs
+++ b/crates/quota/src/home_weights/plan.rs
@@ -54,8 +54,8 @@
     pub held_ppm: u32,
     /// From [`crate::Quota::home_in_force_ppm`].
     pub in_force_ppm: u32,
-    /// From [`crate::Quota::is_home_settled`].
-    pub settled: bool,
+    /// From [`crate::Quota::is_within_home_weight`].
+    pub within_home_weight: bool,
     /// Whether a planned stop has begun.
     pub stopping: bool,
 }
@@ -168,7 +168,7 @@
 
     /// Writes the reduced weight once nothing beyond it is in use.
     fn finish_reducing(&self) -> HomeStep {
-        match self.settled {
+        match self.within_home_weight {
             true => self.write_own(self.held_ppm),
             false => HomeStep::Wait,
         }
--- a/crates/quota/src/lending.rs
+++ b/crates/quota/src/lending.rs
@@ -4,7 +4,7 @@
 use crate::bucket::{PREQ_PER_MREQ, PREQ_PER_REQUEST};
 use crate::ledger::{Asked, Borrowed, Ledger, Lent};
 use crate::loan::{LoanGrant, LoanId, LoanRequest, LoanReturn};
-use crate::quota::{LedgerKey, Quota};
+use crate::quota::{Quota, QuotaKey};
 
 /// A lender keeps this part of its own share even without demand, so that its first call
 /// is not always short.
@@ -27,7 +27,7 @@
 impl Quota {
     /// A request to send to one peer, or `None` if the bucket is not short, or it is too
     /// early for another request. Requests go to peers in turn, own zone first.
-    pub fn loan_request(&mut self, now_ms: u64, key: LedgerKey) -> Option<LoanRequest> {
+    pub fn loan_request(&mut self, now_ms: u64, key: QuotaKey) -> Option<LoanRequest> {
         let id = LoanId {
             borrower: self.settings.incarnation.clone(),
             sequence: self.next_sequence,
@@ -76,7 +76,7 @@
         if self.stopping || request.id.borrower == self.settings.incarnation {
             return grant;
         }
-        let Some(key) = self.ledger(&request.customer) else {
+        let Some(key) = self.quota_key(&request.customer) else {
             return grant;
         };
         let Some(ledger) = self.advance(now_ms, key) else {
@@ -113,7 +113,7 @@
             return false;
         }
         let term_ms = self.settings.loan_term_ms;
-        let Some(key) = self.ledger(&grant.customer) else {
+        let Some(key) = self.quota_key(&grant.customer) else {
             return false;
         };
         let Some(ledger) = self.advance(now_ms, key) else {
@@ -159,7 +159,7 @@
 
     /// Returns the loans whose term is about to end. The lender has them back at once
     /// instead of after its margin, which would waste a part of each loan.
-    pub fn end_loans(&mut self, now_ms: u64) -> Vec<LoanReturn> {
+    pub fn return_expiring_loans(&mut self, now_ms: u64) -> Vec<LoanReturn> {
         self.advance_all(now_ms);
         let mut returns = Vec::new();
         for ledger in self.ledgers.values_mut() {
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -21,7 +21,7 @@
 mod settings;
 
 pub use crate::loan::{LoanGrant, LoanId, LoanRequest, LoanReturn};
-pub use crate::quota::{LedgerKey, Quota, Share, Take};
+pub use crate::quota::{Quota, QuotaKey, Share, Take};
 pub use crate::settings::QuotaSettings;
 
 /// The whole of a contract, in parts per million.
--- a/crates/quota/src/quota.rs
+++ b/crates/quota/src/quota.rs
@@ -12,7 +12,7 @@
 
 slotmap::new_key_type! {
     /// Names one customer of a [`Quota`]. Valid while the customer is configured.
-    pub struct LedgerKey;
+    pub struct QuotaKey;
 }
 
 /// The outcome of [`Quota::take`].
@@ -46,8 +46,8 @@
 pub struct Quota {
     pub(crate) settings: QuotaSettings,
     pub(crate) home: Home,
-    pub(crate) ledgers: SlotMap<LedgerKey, Ledger>,
-    pub(crate) by_name: BTreeMap<String, LedgerKey>,
+    pub(crate) ledgers: SlotMap<QuotaKey, Ledger>,
+    pub(crate) by_name: BTreeMap<String, QuotaKey>,
     pub(crate) next_sequence: u64,
     /// Set on a planned stop. Nothing is lent or borrowed any more.
     pub(crate) stopping: bool,
@@ -142,13 +142,13 @@
 
     /// Whether nothing beyond the home weight is lent or about to be sent, so that a
     /// reduced weight may be written to the store.
-    pub fn is_home_settled(&mut self, now_ms: u64) -> bool {
+    pub fn is_within_home_weight(&mut self, now_ms: u64) -> bool {
         self.advance_all(now_ms);
         self.ledgers.values().all(Ledger::is_settled)
     }
 
     /// The key of a configured customer.
-    pub fn ledger(&self, customer: &str) -> Option<LedgerKey> {
+    pub fn quota_key(&self, customer: &str) -> Option<QuotaKey> {
         let key = *self.by_name.get(customer)?;
         self.ledgers
             .get(key)
@@ -158,7 +158,7 @@
 
     /// Takes one request from the customer's bucket. Call it when the decision to send
     /// the call is made, not earlier: the dispatch deadline counts from here.
-    pub fn take(&mut self, now_ms: u64, key: LedgerKey) -> Take {
+    pub fn take(&mut self, now_ms: u64, key: QuotaKey) -> Take {
         let Some(ledger) = self.advance(now_ms, key) else {
             return Take::Short { wait_ms: None };
         };
@@ -174,7 +174,7 @@
     /// Records that the first byte of a call was sent that was taken at `taken_at_ms`, the
     /// `now_ms` of its [`Quota::take`]. Until then the call occupies its place in the
     /// bucket, at most for the dispatch deadline plus margin.
-    pub fn sent(&mut self, now_ms: u64, key: LedgerKey, taken_at_ms: u64) {
+    pub fn sent(&mut self, now_ms: u64, key: QuotaKey, taken_at_ms: u64) {
         if let Some(ledger) = self.advance(now_ms, key) {
             ledger.bucket.end_hold(taken_at_ms);
         }
@@ -182,14 +182,14 @@
 
     /// Restores the token of a call that was taken at `taken_at_ms` and will never be
     /// sent. The token is lost if the dispatch deadline plus margin has passed since.
-    pub fn give_back(&mut self, now_ms: u64, key: LedgerKey, taken_at_ms: u64) {
+    pub fn give_back(&mut self, now_ms: u64, key: QuotaKey, taken_at_ms: u64) {
         if let Some(ledger) = self.advance(now_ms, key) {
             ledger.bucket.give_back(taken_at_ms);
         }
     }
 
     /// What this instance holds of a customer's contract.
-    pub fn share(&mut self, now_ms: u64, key: LedgerKey) -> Option<Share> {
+    pub fn share(&mut self, now_ms: u64, key: QuotaKey) -> Option<Share> {
         let ledger = self.advance(now_ms, key)?;
         let tokens_mreq = ledger.bucket.tokens_preq() / crate::bucket::PREQ_PER_MREQ;
         Some(Share {
@@ -208,7 +208,7 @@
         self.drop_unused();
     }
 
-    pub(crate) fn advance(&mut self, now_ms: u64, key: LedgerKey) -> Option<&mut Ledger> {
+    pub(crate) fn advance(&mut self, now_ms: u64, key: QuotaKey) -> Option<&mut Ledger> {
         let ledger = self.ledgers.get_mut(key)?;
         ledger.advance(now_ms, &self.home, self.settings.hold_ms());
         Some(ledger)
--- a/crates/quota/tests/bucket.rs
+++ b/crates/quota/tests/bucket.rs
@@ -162,7 +162,7 @@
     let mut quota = warm("a", 1_000_000, 1_000, 2_000);
     let key = key(&quota);
     quota.set_customers(WARM_MS, &BTreeMap::new());
-    assert_eq!(quota.ledger("c"), None);
+    assert_eq!(quota.quota_key("c"), None);
     assert_eq!(quota.take(WARM_MS, key), Take::Short { wait_ms: None });
 }
 
--- a/crates/quota/tests/home_weights.rs
+++ b/crates/quota/tests/home_weights.rs
@@ -69,7 +69,7 @@
             reclaimable: &self.reclaimable,
             held_ppm: instance.held_ppm,
             in_force_ppm: instance.held_ppm,
-            settled: true,
+            within_home_weight: true,
             stopping: instance.stopping,
         })
     }
@@ -249,7 +249,7 @@
         reclaimable: &fleet.reclaimable,
         held_ppm: instance.held_ppm,
         in_force_ppm: instance.held_ppm,
-        settled: false,
+        within_home_weight: false,
         stopping: false,
     };
     assert_eq!(plan(&view), HomeStep::Wait);
--- a/crates/quota/tests/loans.rs
+++ b/crates/quota/tests/loans.rs
@@ -184,18 +184,18 @@
     let (mut borrower, mut lender) = pair();
     borrow(&mut borrower, &mut lender, WARM_MS);
     lender.set_home_weight(WARM_MS, 300_000, u64::MAX);
-    assert!(!lender.is_home_settled(WARM_MS + LENT_MS - 1));
-    assert!(lender.is_home_settled(WARM_MS + LENT_MS));
+    assert!(!lender.is_within_home_weight(WARM_MS + LENT_MS - 1));
+    assert!(lender.is_within_home_weight(WARM_MS + LENT_MS));
     let lender_key = key(&lender);
     let now_ms = WARM_MS + 100_000;
     assert_eq!(lender.take(now_ms, lender_key), Take::Taken);
     lender.set_home_weight(now_ms, 0, u64::MAX);
     assert!(
-        !lender.is_home_settled(now_ms),
+        !lender.is_within_home_weight(now_ms),
         "the call may still be sent"
     );
     lender.sent(now_ms, lender_key, now_ms);
-    assert!(lender.is_home_settled(now_ms));
+    assert!(lender.is_within_home_weight(now_ms));
 }
 
 /// Guards against shares that stay idle after a planned stop, and against a return that
--- a/crates/quota/tests/properties.rs
+++ b/crates/quota/tests/properties.rs
@@ -94,7 +94,7 @@
             Event::Deliver(position) => self.deliver(position, false),
             Event::Duplicate(position) => self.deliver(position, true),
             Event::EndLoans(index) => {
-                let returns = self.quotas[index].end_loans(now_ms);
+                let returns = self.quotas[index].return_expiring_loans(now_ms);
                 self.post_returns(returns);
             }
             Event::Return(index) => {
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use jayreel_model::Customer;
-use jayreel_quota::{LedgerKey, Quota, QuotaSettings, Take};
+use jayreel_quota::{Quota, QuotaKey, QuotaSettings, Take};
 
 /// From the setting of a weight until it counts and full buckets.
 pub const WARM_MS: u64 = 1_000_000;
@@ -29,8 +29,8 @@
     quota
 }
 
-pub fn key(quota: &Quota) -> LedgerKey {
-    quota.ledger("c").expect("configured")
+pub fn key(quota: &Quota) -> QuotaKey {
+    quota.quota_key("c").expect("configured")
 }
 
 /// Takes and sends calls until the bucket is short, and returns their number.
--- a/crates/spec/src/home_weights_instance.rs
+++ b/crates/spec/src/home_weights_instance.rs
@@ -119,12 +119,12 @@
             true => quota.home_weight_ppm(self.now_ms),
             false => 0,
         };
-        let key = quota.ledger(CUSTOMER).filter(|_| self.alive);
+        let key = quota.quota_key(CUSTOMER).filter(|_| self.alive);
         let share = key.and_then(|key| quota.share(self.now_ms, key));
         self.in_use_ppm = share.map_or(0, |share| {
             share.home_ppm.saturating_sub(share.lent_ppm) + share.borrowed_ppm
         });
-        self.settled = quota.is_home_settled(self.now_ms);
+        self.settled = quota.is_within_home_weight(self.now_ms);
     }
 
     /// Whether it stops while it has loans to return.
@@ -137,7 +137,7 @@
     pub fn ask(&mut self) -> Option<LoanRequest> {
         let now_ms = self.now_ms;
         let quota = Rc::make_mut(&mut self.quota);
-        let key = quota.ledger(CUSTOMER)?;
+        let key = quota.quota_key(CUSTOMER)?;
         quota.take(now_ms, key);
         quota.loan_request(now_ms, key)
     }
@@ -166,7 +166,8 @@
             reclaimable: &self.absence.reclaimable(term_ms),
             held_ppm: self.held_ppm,
             in_force_ppm: self.quota.home_in_force_ppm(self.now_ms),
-            settled: self.settled || fault == Some(HomeFault::ReleaseWhileLent),
+            within_home_weight: self.settled
+                || fault == Some(HomeFault::ReleaseWhileLent),
             stopping: self.stopping,
         })
     }
--- a/crates/spec/src/ownership_budget/process.rs
+++ b/crates/spec/src/ownership_budget/process.rs
@@ -5,8 +5,8 @@
 use jayreel_model::{Incarnation, Profile, RequestId};
 use jayreel_programs::ownership::decide;
 use jayreel_programs::{
-    Admission, BudgetRecord, CallFacts, Decision, MembershipFacts, OwnerFact,
-    OwnerLiveness, OwnershipView, Transition, Usage,
+    Admission, BudgetRecord, CallParams, Decision, OwnerLiveness, OwnerLookup,
+    OwnerStatus, OwnershipView, ProgramEffects, Usage,
 };
 
 use super::world::{BudgetModel, Fault, Process, State, Stored, Write, token};
@@ -18,9 +18,9 @@
 /// Reports every process as dead and unregistered.
 struct Dead;
 
-impl MembershipFacts for Dead {
-    fn owner(&self, _incarnation: &Incarnation) -> OwnerFact {
-        OwnerFact {
+impl OwnerLookup for Dead {
+    fn owner(&self, _incarnation: &Incarnation) -> OwnerStatus {
+        OwnerStatus {
             liveness: OwnerLiveness::Dead,
             registration_absent_ms: Some(0),
         }
@@ -60,7 +60,7 @@
         let view = OwnershipView {
             own: &own,
             takeovers: &state.processes[at].takeovers,
-            facts: &Dead,
+            owners: &Dead,
             takeover_delay_ms: 0,
         };
         decide(view, &incarnation(0), false)
@@ -72,7 +72,7 @@
         let Ok(program) = one.programs.resolve(0, token(), &Profile::default()) else {
             return;
         };
-        let facts = CallFacts {
+        let facts = CallParams {
             request_id: CALL,
             repeatable: true,
             turn: None,
@@ -93,7 +93,7 @@
     fn write(&self, state: &State, at: usize, steps: &mut Vec<(Step, State)>) {
         let mut next = state.clone();
         let one = next.process(at);
-        let Some(record) = one.programs.grants_needed() else {
+        let Some(record) = one.programs.next_budget_record() else {
             return;
         };
         let record = Rc::new(record);
@@ -123,7 +123,7 @@
         if stored.record.as_ref() == Some(pending) {
             one.recorded(pending);
         } else {
-            let transition = one.programs.grants_failed();
+            let transition = one.programs.budget_record_failed();
             one.follow(&transition);
         }
         steps.push((Step::new("read grants back", at, 0), next));
@@ -214,11 +214,11 @@
     }
 
     fn recorded(&mut self, record: &BudgetRecord) {
-        let transition = self.programs.grants_recorded(record);
+        let transition = self.programs.budget_record_written(record);
         self.follow(&transition);
     }
 
-    fn follow(&mut self, transition: &Transition) {
+    fn follow(&mut self, transition: &ProgramEffects) {
         for resolved in &transition.resolved {
             if let Admission::Run { max_tokens, .. } = resolved.admission {
                 self.spend(max_tokens);
--- a/crates/spec/src/ownership_calls/process.rs
+++ b/crates/spec/src/ownership_calls/process.rs
@@ -5,8 +5,8 @@
 use jayreel_model::{Incarnation, Profile, Ran, RequestId};
 use jayreel_programs::ownership::decide;
 use jayreel_programs::{
-    Admission, CallFacts, Decision, MembershipFacts, OwnerFact, OwnerLiveness,
-    OwnershipView, Resolved, Transition,
+    Admission, CallParams, Decision, DeferredAdmission, OwnerLiveness, OwnerLookup,
+    OwnerStatus, OwnershipView, ProgramEffects,
 };
 
 use super::model::{CallsModel, Fault};
@@ -19,9 +19,9 @@
 /// any process may have lapsed.
 pub(super) struct Belief(pub(super) OwnerLiveness);
 
-impl MembershipFacts for Belief {
-    fn owner(&self, _incarnation: &Incarnation) -> OwnerFact {
-        OwnerFact {
+impl OwnerLookup for Belief {
+    fn owner(&self, _incarnation: &Incarnation) -> OwnerStatus {
+        OwnerStatus {
             liveness: self.0,
             registration_absent_ms: Some(TAKEOVER_DELAY_MS),
         }
@@ -44,7 +44,7 @@
             let view = OwnershipView {
                 own: &own,
                 takeovers: &state.processes[at].takeovers,
-                facts: &belief,
+                owners: &belief,
                 takeover_delay_ms: TAKEOVER_DELAY_MS,
             };
             let mut next = state.clone();
@@ -109,13 +109,13 @@
         self.resolve(state, at, request, admission);
     }
 
-    fn facts(&self, state: &State, request: usize, at: usize) -> CallFacts {
+    fn facts(&self, state: &State, request: usize, at: usize) -> CallParams {
         let one = state.requests[request];
         let epoch = match self.fault {
             Fault::NoEpochCheck => Some(at),
             _ => one.epoch,
         };
-        CallFacts {
+        CallParams {
             request_id: RequestId(request as u64),
             repeatable: self.repeatable,
             turn: u32::try_from(one.action).ok().filter(|_| self.turns),
@@ -148,8 +148,13 @@
         }
     }
 
-    pub(super) fn follow(&self, state: &mut State, at: usize, transition: Transition) {
-        for Resolved {
+    pub(super) fn follow(
+        &self,
+        state: &mut State,
+        at: usize,
+        transition: ProgramEffects,
+    ) {
+        for DeferredAdmission {
             request_id,
             admission,
         } in transition.resolved
--- a/crates/spec/src/ownership_calls/takeover.rs
+++ b/crates/spec/src/ownership_calls/takeover.rs
@@ -46,7 +46,7 @@
         let view = OwnershipView {
             own: &own,
             takeovers: &state.processes[at].takeovers,
-            facts: &Belief(OwnerLiveness::Dead),
+            owners: &Belief(OwnerLiveness::Dead),
             takeover_delay_ms: TAKEOVER_DELAY_MS,
         };
         if let Decision::ClaimTakeover { of } = decide(view, &incarnation(0), false) {
--- a/crates/spec/src/quota_loans_instance.rs
+++ b/crates/spec/src/quota_loans_instance.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use jayreel_model::Customer;
-use jayreel_quota::{LedgerKey, LoanRequest, Quota, QuotaSettings, Take};
+use jayreel_quota::{LoanRequest, Quota, QuotaKey, QuotaSettings, Take};
 
 use crate::quota_loans::{
     DEADLINE_TICKS, LoanFault, LoanScope, MARGIN_TICKS, TERM_TICKS, TICK_MS,
@@ -131,8 +131,8 @@
         Rc::make_mut(&mut self.quota)
     }
 
-    pub fn key(&self) -> LedgerKey {
-        self.quota.ledger(CUSTOMER).expect("configured")
+    pub fn key(&self) -> QuotaKey {
+        self.quota.quota_key(CUSTOMER).expect("configured")
     }
 }
 
