--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -1,7 +1,7 @@
-//! The configuration that operators change while traffic runs.
+//! Configuration that operators can change without restarting any instance.
 //!
-//! Each entity is one record in the store. A [`Configuration`] is the copy that an
-//! instance holds of all of them.
+//! Each customer, key, profile, endpoint and route is a separate record in the store. A
+//! [`Configuration`] is an instance's in-memory copy of all records.
 
 use std::collections::BTreeMap;
 
@@ -9,52 +9,54 @@
 
 use crate::id::KeyHash;
 
-/// All configuration records as of one store revision.
+/// Snapshot of all configuration records at one store revision.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Configuration {
-    /// The store revision of the newest change. Never decreases at an instance.
+    /// Store revision of the latest change in this snapshot. An instance ignores a
+    /// snapshot whose revision is lower than that of the one it uses.
     pub revision: u64,
     /// Customers by name.
     pub customers: BTreeMap<String, Customer>,
-    /// Keys by hash. Withdrawn keys stay as records.
+    /// Customer keys by their hash. Withdrawn keys keep their record.
     pub keys: BTreeMap<KeyHash, CustomerKey>,
-    /// Profiles by name. Retired profiles stay as records.
+    /// Profiles by name. Retired profiles keep their record.
     pub profiles: BTreeMap<String, Profile>,
     /// Endpoints by name.
     pub endpoints: BTreeMap<String, Endpoint>,
-    /// The store revision of each endpoint's record. Orders to engines carry it as their
-    /// fencing number. Has no entry for records that were read before this field existed.
+    /// Store revision of each endpoint record, by endpoint name. Sent with orders to
+    /// engines as the fencing number. Absent for records that were read before this field
+    /// existed.
     pub endpoint_revisions: BTreeMap<String, u64>,
     /// Routes by name.
     pub routes: BTreeMap<String, Route>,
 }
 
-/// A customer and its contract.
+/// Rate limit and fair-share weight of a customer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
-    /// Requests per second across the fleet, in thousandths.
+    /// Rate limit over all instances together, in thousandths of a request per second.
     pub rate_mreq_per_s: u64,
-    /// Burst across the fleet, in thousandths of a request.
+    /// Burst size over all instances together, in thousandths of a request.
     pub burst_mreq: u64,
-    /// Share of endpoint time relative to other customers. At least 1.
-    #[serde(default = "one")]
+    /// Share of endpoint capacity relative to the weights of other customers. At least 1.
+    #[serde(default = "default_one")]
     pub weight: u32,
 }
 
-/// A customer key, known only by its hash.
+/// An API key of a customer. Only the hash of the key is stored.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CustomerKey {
-    /// Name of the customer.
+    /// Name of the customer that the key belongs to.
     pub customer: String,
-    /// Set on withdrawal and never cleared.
+    /// Whether the key was withdrawn. Calls with it are rejected. Never reset to false.
     #[serde(default)]
     pub withdrawn: bool,
 }
 
-/// How urgent the programs of a profile are.
+/// Scheduling class of the programs of a profile, most urgent first.
 #[derive(
     Clone,
     Copy,
@@ -70,34 +72,36 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum ClassOfService {
-    /// A person waits for the answer.
+    /// A user is waiting for the answer.
     Interactive,
-    /// The default.
+    /// For programs without special urgency.
     #[default]
     Standard,
-    /// Nobody waits.
+    /// Background work that no user is waiting for.
     Batch,
 }
 
-/// How a class of programs is treated.
+/// Scheduling class and limits for the programs that are opened under the profile.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Profile {
-    /// Urgency of the programs.
+    /// Scheduling class of the programs.
     pub class: ClassOfService,
-    /// Budget of a program when the caller names none, and the most it may name.
+    /// Token budget of a program if the caller requests none, and the largest budget that
+    /// a caller may request.
     pub budget_tokens: u64,
-    /// Most calls in one program.
+    /// Maximum number of calls in one program.
     pub max_turns: u32,
-    /// Most tokens that one call may generate.
+    /// Maximum number of tokens that one call may generate.
     pub max_call_tokens: u64,
-    /// A program without a call for this long is closed.
+    /// A program is closed after this time without a call.
     pub idle_timeout_ms: u64,
-    /// A call that waits longer than this is refused.
+    /// Maximum time that a call may wait to be dispatched before it is refused.
     pub max_wait_ms: u64,
-    /// Models that programs may use. Empty means all.
+    /// Models that programs may use. Empty allows all models.
     pub models: Vec<String>,
-    /// Set when the profile is retired. No new program may open under it.
+    /// Whether the profile is retired. No new program can be opened under a retired
+    /// profile; programs that are already open keep it.
     pub retired: bool,
 }
 
@@ -116,85 +120,88 @@
     }
 }
 
-/// What an endpoint speaks.
+/// Protocol of an endpoint.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointKind {
-    /// A model engine with the chat completions API.
+    /// A model engine that serves the chat completions API.
     ModelEngine,
-    /// A plain HTTP service.
+    /// An HTTP service that receives requests by path, see [`Route`].
     PlainService,
 }
 
-/// Whether an endpoint may receive new work.
+/// Administrative state of an endpoint.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointState {
-    /// Receives new work.
+    /// Receives new calls.
     #[default]
     Active,
-    /// Finishes its work and receives none.
+    /// Finishes its running calls and receives no new ones.
     Draining,
-    /// Gone. The record stays until it is deleted.
+    /// Out of service. The record stays until an operator deletes it.
     Removed,
 }
 
-/// A worker or a plain service.
+/// A back end: one model engine or one replica of a plain HTTP service.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoint {
-    /// What the endpoint speaks.
+    /// Protocol of the endpoint.
     pub kind: EndpointKind,
-    /// Endpoints of one group are interchangeable.
+    /// Name of the endpoint group. Calls of one group share a queue. A plain service's
+    /// calls go to any endpoint of its group, a model's to one that serves the model.
     pub group: String,
-    /// The availability zone of the endpoint.
+    /// Availability zone in which the endpoint runs.
     pub availability_zone: String,
     /// IP address and port.
     pub address: String,
-    /// Models that it serves. Empty for plain services.
+    /// Names of the models that the endpoint serves. Empty for plain services.
     #[serde(default)]
     pub models: Vec<String>,
-    /// Versions by model. A model without an entry may have any version.
+    /// Required version of each model. A model without an entry may have any version.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub versions: BTreeMap<String, String>,
-    /// The models of the adapters that it serves, by adapter. Calls name an adapter in
-    /// the place of a model.
+    /// Base model of each adapter that the endpoint serves, by adapter name. Calls use
+    /// the adapter's name in place of a model name.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub adapters: BTreeMap<String, String>,
-    /// Calls that it runs at the same time. At least 1.
-    #[serde(default = "one")]
+    /// Number of calls that the endpoint runs concurrently. At least 1.
+    #[serde(default = "default_one")]
     pub slots: u32,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether the engine rejects orders whose fencing number is lower than one it has
+    /// already seen.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Whether it may receive new work.
+    /// Administrative state, set by operators.
     #[serde(default)]
     pub state: EndpointState,
 }
 
 impl Endpoint {
-    /// Whether calls may name this model or adapter here.
-    pub fn names(&self, model: &str) -> bool {
-        self.models.iter().any(|name| name == model) || self.adapters.contains_key(model)
+    /// Whether the endpoint is configured to serve calls for this model or adapter name.
+    pub fn serves_model(&self, name: &str) -> bool {
+        self.models.iter().any(|model| model == name) || self.adapters.contains_key(name)
     }
 }
 
-/// A path prefix that leads to a group of plain services.
+/// Maps a path prefix to a group of plain services.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Starts with `/` and is matched on whole path segments.
+    /// Starts with `/`. Matches whole path segments only: `/file` does not match `/filed`.
     pub path_prefix: String,
-    /// The endpoint group that serves it.
+    /// Name of the endpoint group that serves the requests.
     pub group: String,
-    /// Whether a request may be sent twice without harm.
+    /// Whether requests are idempotent, so that a request may be retried even if an
+    /// endpoint may have processed it already.
     #[serde(default)]
     pub repeatable: bool,
-    /// Whether requests need no customer key.
+    /// Whether requests are accepted without a customer key.
     #[serde(default)]
     pub open: bool,
 }
 
-fn one() -> u32 {
+fn default_one() -> u32 {
     1
 }
--- a/crates/model/src/engine.rs
+++ b/crates/model/src/engine.rs
@@ -1,48 +1,50 @@
-//! What model engines report and what they are ordered to do.
+//! The control interface of model engines: orders to load or unload weights, and the
+//! reports of what is loaded.
 
 use serde::{Deserialize, Serialize};
 
-/// What an engine is to do. Each order may be repeated without harm.
+/// An order to an engine. Orders are idempotent, so they can be sent again when the
+/// outcome is unknown.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum EngineOrder {
-    /// Load an adapter for a model.
+    /// Load an adapter.
     LoadAdapter {
-        /// The model.
+        /// Name of the adapter's base model.
         model: String,
-        /// The adapter.
+        /// Name of the adapter.
         adapter: String,
     },
-    /// Load a version of a model, beside other versions that are loaded.
+    /// Load a version of a model. Other loaded versions stay loaded.
     LoadModel {
-        /// The model.
+        /// Name of the model.
         model: String,
-        /// The version, or the newest.
+        /// The version to load. `None` for the newest.
         version: Option<String>,
     },
-    /// Take another role, such as prefill or decode.
+    /// Change the engine's role.
     SetRole {
-        /// The role.
+        /// Name of the role, such as prefill or decode.
         role: String,
     },
-    /// Drop an adapter.
+    /// Unload an adapter.
     UnloadAdapter {
-        /// The model.
+        /// Name of the adapter's base model.
         model: String,
-        /// The adapter.
+        /// Name of the adapter.
         adapter: String,
     },
-    /// Drop a version of a model.
+    /// Unload a version of a model.
     UnloadModel {
-        /// The model.
+        /// Name of the model.
         model: String,
-        /// The version as the engine reports it.
+        /// The version as the engine reports it. `None` if the engine reports none.
         version: Option<String>,
     },
 }
 
 impl EngineOrder {
-    /// Whether the engine has to fetch weights.
+    /// Whether the order makes the engine fetch weights.
     pub fn is_load(&self) -> bool {
         matches!(
             self,
@@ -51,53 +53,53 @@
     }
 }
 
-/// Whether weights are in use or on their way.
+/// Load progress of a model's or adapter's weights.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadState {
-    /// Calls can use them.
+    /// Ready for calls.
     Loaded,
-    /// The engine fetches them.
+    /// The engine is still fetching the weights.
     Loading,
 }
 
-/// A version of a model at an engine.
+/// A version of a model that an engine has loaded or is loading.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LoadedModel {
-    /// The model.
+    /// Name of the model.
     pub model: String,
     /// The version. `None` if the engine does not know it.
     #[serde(default)]
     pub version: Option<String>,
-    /// Whether it is loaded.
+    /// Load progress of this version.
     pub state: LoadState,
 }
 
-/// An adapter at an engine.
+/// An adapter that an engine has loaded or is loading.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LoadedAdapter {
-    /// The model that it adapts.
+    /// Name of the base model.
     pub model: String,
-    /// The adapter.
+    /// Name of the adapter.
     pub adapter: String,
-    /// Whether it is loaded.
+    /// Load progress of the adapter.
     pub state: LoadState,
 }
 
-/// What an engine has loaded, as it reports it.
+/// An engine's report of its models and adapters.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct EngineModels {
-    /// Fencing number of the order that arrived last. 0: none.
+    /// Fencing number of the last order that the engine received. 0 if it received none.
     pub fencing: u64,
-    /// The versions of models.
+    /// Model versions that are loaded or loading.
     pub models: Vec<LoadedModel>,
-    /// The adapters.
+    /// Adapters that are loaded or loading.
     pub adapters: Vec<LoadedAdapter>,
 }
 
 impl EngineModels {
-    /// Whether the engine fetches weights.
+    /// Whether the engine is fetching the weights of any model or adapter.
     pub fn is_loading(&self) -> bool {
         let models = self.models.iter().map(|model| model.state);
         let adapters = self.adapters.iter().map(|adapter| adapter.state);
@@ -106,10 +108,14 @@
             .any(|state| state == LoadState::Loading)
     }
 
-    /// Names of models and adapters that calls can use.
+    /// Names of the models and adapters that are ready for calls. A model that is loaded
+    /// in several versions appears once for each.
     pub fn usable(&self) -> impl Iterator<Item = &str> {
-        let models = self.models.iter().map(|one| (one.state, &one.model));
-        let adapters = self.adapters.iter().map(|one| (one.state, &one.adapter));
+        let models = self.models.iter().map(|model| (model.state, &model.model));
+        let adapters = self
+            .adapters
+            .iter()
+            .map(|adapter| (adapter.state, &adapter.adapter));
         models
             .chain(adapters)
             .filter(|(state, _)| *state == LoadState::Loaded)
--- a/crates/model/src/header.rs
+++ b/crates/model/src/header.rs
@@ -1,6 +1,7 @@
-//! HTTP headers that both sides of an instance treat alike.
+//! HTTP header rules that apply to requests from callers and to responses from endpoints.
 
-/// Whether a header concerns one connection only. `name` is in lower case.
+/// Whether a header is hop-by-hop: it applies to a single connection and must not be
+/// forwarded. `name` must be in lower case.
 pub fn is_hop_by_hop(name: &str) -> bool {
     matches!(
         name,
--- a/crates/model/src/id.rs
+++ b/crates/model/src/id.rs
@@ -1,11 +1,12 @@
-//! Identifiers that cross crate borders.
+//! Identifiers that are used by several crates.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// One request as seen by the instance that accepted it. Unique within a process.
+/// Identifies a request within the process that accepted it. Two processes may use the
+/// same number for different requests.
 #[derive(
     Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -18,13 +19,15 @@
     }
 }
 
-/// One start of an instance: its name and a random number.
+/// One process run of an instance. Distinguishes a restarted instance from its
+/// predecessor of the same name.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Incarnation {
-    /// Name of the instance from its settings.
+    /// Name of the instance, from its settings.
     pub instance: String,
-    /// Random number of the start. Only equality matters.
+    /// Random number that is chosen at process start. Has no order: a higher number is not
+    /// a later start.
     pub number: u64,
 }
 
@@ -64,7 +67,7 @@
     }
 }
 
-/// Text that is not `INSTANCE.NUMBER`.
+/// Error for text that is not of the form `INSTANCE.NUMBER`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ParseIncarnationError;
 
@@ -76,7 +79,7 @@
 
 impl std::error::Error for ParseIncarnationError {}
 
-/// The blake3 hash of a customer key. The key itself is never stored.
+/// BLAKE3 hash of a customer key. The key itself is never stored.
 #[derive(
     Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -84,7 +87,7 @@
 pub struct KeyHash(pub [u8; 32]);
 
 impl KeyHash {
-    /// Hashes the text of a key as presented by a caller.
+    /// Hashes a key as sent by a caller.
     pub fn of_key(key: &str) -> KeyHash {
         KeyHash(*blake3::hash(key.as_bytes()).as_bytes())
     }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,4 +1,5 @@
-//! Domain types shared by all jayreel crates: names, configuration and refusals.
+//! Domain types that the other jayreel crates share: identifiers, configuration records,
+//! engine orders and reports, and refusals.
 //!
 //! This crate does no I/O and reads no clock.
 
--- a/crates/model/src/refusal.rs
+++ b/crates/model/src/refusal.rs
@@ -1,35 +1,37 @@
-//! Why a request was not served, and whether it ran.
+//! Errors returned to callers: why a request was refused or failed, and whether an endpoint
+//! may have processed it.
 
 use serde::{Deserialize, Serialize};
 
-/// Whether the endpoint may have carried out the request.
+/// Whether an endpoint processed the request. Tells the caller whether sending the request
+/// again can repeat its effects.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// No byte of the request can have reached an endpoint.
+    /// No byte of the request has reached an endpoint.
     No,
-    /// The request may or may not have run.
+    /// An endpoint may have processed the request.
     Unknown,
-    /// The request ran.
+    /// An endpoint processed the request.
     Yes,
 }
 
-/// A request that was refused or failed.
+/// Error response for a request that was refused or failed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub struct Refusal {
-    /// The reason, which fixes the HTTP status.
+    /// Reason code. Determines the HTTP status.
     pub reason: RefusalReason,
-    /// Whether the request ran.
+    /// Whether an endpoint processed the request.
     pub ran: Ran,
-    /// When a retry can succeed, if that is known.
+    /// Time after which a retry may succeed, in milliseconds. `None` if unknown.
     pub retry_after_ms: Option<u64>,
-    /// Text for a person. Holds no secrets.
+    /// Human-readable explanation. Must not contain secrets.
     pub message: String,
 }
 
 impl Refusal {
-    /// A refusal of a request that did not run.
+    /// Creates a refusal of a request that did not reach any endpoint.
     pub fn not_run(reason: RefusalReason, message: impl Into<String>) -> Refusal {
         Refusal {
             reason,
@@ -39,57 +41,60 @@
         }
     }
 
-    /// Sets the time after which a retry can succeed.
+    /// Sets the time after which a retry may succeed.
     pub fn retry_after_ms(mut self, retry_after_ms: u64) -> Refusal {
         self.retry_after_ms = Some(retry_after_ms);
         self
     }
 }
 
-/// Reasons for refusals. [`RefusalReason::status`] gives the HTTP status of each.
+/// Reason codes of refusals. [`RefusalReason::status`] gives the HTTP status of each.
 #[derive(
     Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// The budget of the program is used up.
+    /// The program's token budget is exhausted.
     BudgetExhausted,
-    /// The caller went away before the answer was complete.
+    /// The caller closed its connection before the answer was complete.
     CallerGone,
-    /// The body is larger than the limit.
+    /// The request body exceeds the size limit.
     BodyTooLarge,
-    /// The endpoint answered badly or broke the connection.
+    /// The endpoint sent an invalid response or closed the connection, or the connection
+    /// to it failed.
     EndpointFailed,
     /// The endpoint made no progress within its deadline.
     EndpointTimeout,
-    /// The history hash does not match the messages.
+    /// The history hash that the caller sent does not match its messages.
     HistoryMismatch,
-    /// The key is missing, unknown or withdrawn.
+    /// The customer key is missing, unknown or withdrawn.
     InvalidKey,
     /// The request is malformed.
     InvalidRequest,
-    /// The customer may not use this model, profile, program or route.
+    /// The customer is not allowed to use this model, profile, program or route.
     NotAllowed,
-    /// No such model, profile, program or path.
+    /// The model, profile, program or path does not exist.
     NotFound,
-    /// The instance has no valid configuration yet, or is stopping.
+    /// The instance has no valid configuration, or is shutting down.
     NotReady,
-    /// No endpoint can take the request now.
+    /// The instance or the endpoints have no capacity for the request now.
     Overloaded,
-    /// The program's owner cannot be reached, or its outcome is not known.
+    /// The instance that owns the program is unreachable, or the outcome of the call there
+    /// is unknown.
     OwnerUnavailable,
-    /// The customer's rate and burst are used up.
+    /// The customer's rate limit, including its burst, is exceeded.
     RateExceeded,
-    /// The caller was too slow in sending its request.
+    /// The caller did not send its request in time.
     RequestTimeout,
-    /// The store is needed for this request and cannot be reached.
+    /// The request needs the store, which is unreachable.
     StoreUnavailable,
-    /// The turn is not the next one of the program, or the key was used before.
+    /// The turn number is not the program's next one, or the idempotency key was used
+    /// before.
     WrongTurn,
 }
 
 impl RefusalReason {
-    /// The HTTP status code.
+    /// HTTP status code of the error response.
     pub fn status(self) -> u16 {
         match self {
             RefusalReason::InvalidRequest => 400,
@@ -112,7 +117,8 @@
         }
     }
 
-    /// The code in the JSON error and in metrics, in snake case.
+    /// Code in the JSON error body and in metric labels, in snake case. Equal to the serde
+    /// name.
     pub fn code(self) -> &'static str {
         match self {
             RefusalReason::BudgetExhausted => "budget_exhausted",
--- a/crates/scheduler/src/endpoint.rs
+++ b/crates/scheduler/src/endpoint.rs
@@ -79,7 +79,7 @@
     /// Whether the endpoint is configured for the target. It may have to load it first.
     pub fn is_for(&self, target: &Target) -> bool {
         match target {
-            Target::Model(model) => self.configuration.names(model),
+            Target::Model(model) => self.configuration.serves_model(model),
             Target::Group(group) => self.configuration.group == *group,
         }
     }
