--- a/crates/scheduler/src/arrival.rs
+++ b/crates/scheduler/src/arrival.rs
@@ -1,22 +1,24 @@
-//! An arriving call on its way to a queue: program and admission.
+//! Handling of an arriving call: checks, program admission, overload admission and queueing.
 
 use jayreel_model::{Refusal, RefusalReason};
 
 use crate::call::{Call, CallKey, CallState, Running, Target};
-use crate::check::Checked;
+use crate::check::CheckedCall;
 use crate::effect::Effect;
 use crate::event::{CallArrived, CallOperation};
 use crate::group::GroupKey;
-use crate::policy::AdmissionCall;
+use crate::policy::AdmissionRequest;
 use crate::program_admission::{ProgramCall, ProgramDecision, ProgramGrant};
 use crate::scheduler::{Scheduler, refuse};
 
-/// Bytes of a token of usual text. The prompt is known by its bytes only.
+/// Average number of bytes per token of ordinary text. Used to estimate the length of a
+/// prompt, of which only the upper bound from its bytes is known.
 const BYTES_PER_TOKEN: u64 = 4;
 
 impl Scheduler {
-    /// Checks a call and queues, forwards, answers or refuses it.
-    pub(crate) fn arrive(
+    /// Checks a call and then queues, forwards, answers or refuses it. A repeated request id
+    /// is ignored.
+    pub(crate) fn handle_arrival(
         &mut self,
         now_ms: u64,
         arrived: CallArrived,
@@ -49,7 +51,7 @@
         &mut self,
         now_ms: u64,
         arrived: &CallArrived,
-        checked: Checked,
+        checked: CheckedCall,
     ) -> CallKey {
         let (prompt_bound, prefix_hashes) = match &arrived.operation {
             CallOperation::Chat {
@@ -60,7 +62,7 @@
             _ => (0, Vec::new()),
         };
         let customer = checked.customer.as_deref();
-        self.next_sequence += 1;
+        self.last_sequence += 1;
         let key = self.calls.insert(Call {
             request_id: arrived.request_id,
             key: checked.key,
@@ -72,16 +74,16 @@
             prefix_hashes,
             response_headers: Vec::new(),
             repeatable: checked.repeatable,
-            sequence: self.next_sequence,
+            sequence: self.last_sequence,
             waiting_since_ms: now_ms,
             max_wait_ms: checked.profile.max_wait_ms,
             program: None,
-            in_program_step: false,
+            in_program_admission: false,
             quota_taken_at_ms: None,
-            short_since_ms: None,
+            over_rate_since_ms: None,
             rate_retry_after_ms: 0,
             failed_attempts: 0,
-            avoid: None,
+            avoid_endpoint: None,
             may_have_run: false,
             state: CallState::AwaitingProgram,
         });
@@ -89,8 +91,9 @@
         key
     }
 
-    /// Applies the decisions that the program step made since the last event.
-    pub(crate) fn apply_decisions(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
+    /// Applies what program admission has decided since the last event, and releases the
+    /// cache of programs that have ended.
+    pub(crate) fn apply_program_changes(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
         loop {
             let changes = self.programs.take_changes(now_ms);
             if changes.decided.is_empty() && changes.ended.is_empty() {
@@ -103,14 +106,17 @@
             }
             for tag in changes.ended {
                 out.extend(self.program_ended(now_ms, &tag));
-                let releases = self.program_cache.end(&tag, self.retention.as_mut());
-                self.release(now_ms, releases, out);
+                let releases = self
+                    .program_table
+                    .end_program(&tag, self.retention_policy.as_mut());
+                self.request_releases(now_ms, releases, out);
             }
         }
     }
 
+    /// The `ProgramEnded` effect if the program with this cache tag is a root program.
     fn program_ended(&self, now_ms: u64, tag: &str) -> Option<Effect> {
-        let root = self.program_cache.ending_root(tag)?;
+        let root = self.program_table.ending_root(tag)?;
         let customer = root.customer.and_then(|id| self.customers.name(id));
         Some(Effect::ProgramEnded {
             customer: customer.unwrap_or_default().to_string(),
@@ -128,18 +134,18 @@
     ) {
         let call = &mut self.calls[key];
         let request_id = call.request_id;
-        call.in_program_step = matches!(
+        call.in_program_admission = matches!(
             decision,
             ProgramDecision::Proceed(_) | ProgramDecision::Wait
         );
         match decision {
-            ProgramDecision::Proceed(grant) => self.proceed(now_ms, key, grant, out),
+            ProgramDecision::Proceed(grant) => self.admit_call(now_ms, key, grant, out),
             ProgramDecision::Wait => {}
             ProgramDecision::Forward { to } => {
                 call.state = CallState::Running(Running {
                     slot: None,
                     sent: false,
-                    answered: false,
+                    response_started: false,
                     cancelled: false,
                 });
                 out.push(Effect::Forward { request_id, to });
@@ -154,8 +160,8 @@
         }
     }
 
-    /// Takes a call that its program lets run to admission and its queue.
-    fn proceed(
+    /// Queues a call that program admission lets run, unless its group is overloaded.
+    fn admit_call(
         &mut self,
         now_ms: u64,
         key: CallKey,
@@ -166,24 +172,25 @@
         call.max_tokens = grant.max_tokens;
         call.response_headers = grant.response_headers;
         call.program = grant.program.map(|identity| {
-            let retention = self.retention.as_mut();
+            let retention = self.retention_policy.as_mut();
             let (class, customer) = (call.class, call.customer);
-            self.program_cache
-                .join(now_ms, &identity, class, customer, retention)
+            self.program_table
+                .begin_call(now_ms, &identity, class, customer, retention)
         });
         let call = &self.calls[key];
         let admitted = self
             .group_for(&call.target)
-            .and_then(|group| self.admit_to(group, call));
+            .and_then(|group| self.check_admission(group, call));
         if let Err(refusal) = admitted {
             return self.refuse_waiting(now_ms, key, refusal, out);
         }
         self.enqueue(now_ms, key, out);
     }
 
-    fn admit_to(&self, group: GroupKey, call: &Call) -> Result<(), Refusal> {
+    /// Applies the admission policy to a call for the group.
+    fn check_admission(&self, group: GroupKey, call: &Call) -> Result<(), Refusal> {
         let expected_wait_ms = self.expected_wait_ms(group, call.customer);
-        let admitted = self.admission.admits(&AdmissionCall {
+        let admitted = self.admission_policy.admits(&AdmissionRequest {
             expected_wait_ms,
             max_wait_ms: call.max_wait_ms,
         });
@@ -192,14 +199,15 @@
             false => {
                 let refusal = Refusal::not_run(
                     RefusalReason::Overloaded,
-                    "the expected wait exceeds the profile's limit",
+                    "the expected wait exceeds the profile's maximum waiting time",
                 );
                 Err(refusal.retry_after_ms(self.retry_after_ms(group, call.customer)))
             }
         }
     }
 
-    /// Puts a call into the queue of the group that serves it.
+    /// Adds a call to the queue of the group that serves it. Refuses the call if there is
+    /// no such group.
     pub(crate) fn enqueue(&mut self, now_ms: u64, key: CallKey, out: &mut Vec<Effect>) {
         match self.group_for(&self.calls[key].target) {
             Ok(group) => {
--- a/crates/scheduler/src/check.rs
+++ b/crates/scheduler/src/check.rs
@@ -1,5 +1,7 @@
-//! Checks of an arriving call against the configuration. They change no state, so that
-//! bad input costs no budget, no rate and no engine work.
+//! Validation of an arriving call against the configuration: key, profile, model and route.
+//!
+//! The checks change no state, so that invalid requests consume no budget, no quota and no
+//! engine time.
 
 use jayreel_model::{Configuration, KeyHash, Profile, Refusal, RefusalReason, Route};
 
@@ -8,32 +10,39 @@
 use crate::group::GroupKey;
 use crate::scheduler::Scheduler;
 
-/// The profile of calls that name none. Has default values unless it is configured.
+/// Name of the profile of calls that select none. The profile has default values unless it
+/// is configured.
 const DEFAULT_PROFILE: &str = "default";
 
-/// What the configuration says about a call.
+/// A call that passed the checks, with the configuration that applies to it.
 #[derive(Clone, Debug)]
-pub(crate) struct Checked {
+pub(crate) struct CheckedCall {
+    /// Hash of the customer key. `None` on open routes, also if the caller sent a key.
     pub key: Option<KeyHash>,
     /// Name of the customer. `None` on open routes.
     pub customer: Option<String>,
     pub profile_name: String,
     pub profile: Profile,
-    /// `None` for operations on programs.
+    /// What the call needs from an endpoint. `None` for operations on programs.
     pub target: Option<Target>,
+    /// Maximum number of tokens to generate. `None` unless the call is a chat completion.
     pub max_tokens: Option<u64>,
+    /// Whether the call is idempotent. True except on routes that are not repeatable.
     pub repeatable: bool,
 }
 
 impl Scheduler {
-    /// Checks a call.
+    /// Checks a call, or returns the refusal for its caller.
     pub(crate) fn check(
         &self,
         now_ms: u64,
         arrived: &CallArrived,
-    ) -> Result<Checked, Refusal> {
+    ) -> Result<CheckedCall, Refusal> {
         let configuration = self.configuration.as_deref().ok_or_else(|| {
-            Refusal::not_run(RefusalReason::NotReady, "no configuration yet")
+            Refusal::not_run(
+                RefusalReason::NotReady,
+                "the instance has no configuration yet",
+            )
         })?;
         let route = match &arrived.operation {
             CallOperation::Service { path } => Some(find_route(configuration, path)?),
@@ -53,7 +62,7 @@
         if let Some(target) = &target {
             self.group_for(target)?;
         }
-        Ok(Checked {
+        Ok(CheckedCall {
             key,
             customer,
             profile_name,
@@ -64,6 +73,7 @@
         })
     }
 
+    /// Returns the name of the customer that the key belongs to.
     fn authenticate(
         &self,
         now_ms: u64,
@@ -71,47 +81,51 @@
         key: Option<KeyHash>,
     ) -> Result<String, Refusal> {
         let offline = self
-            .contact_at_ms
+            .last_store_contact_at_ms
             .is_some_and(|at| now_ms.saturating_sub(at) > self.settings.offline_grace_ms);
         if offline {
             return Err(Refusal::not_run(
                 RefusalReason::NotReady,
-                "keys cannot be checked because the store was out of reach for too long",
+                "keys cannot be verified: the store has been unreachable for too long",
             ));
         }
         let refusal = |message| Refusal::not_run(RefusalReason::InvalidKey, message);
-        let hash = key.ok_or_else(|| refusal("a key is required"))?;
+        let hash = key.ok_or_else(|| refusal("a customer key is required"))?;
         self.customer_of(configuration, hash)
             .map(str::to_string)
-            .ok_or_else(|| refusal("the key is unknown or withdrawn"))
+            .ok_or_else(|| refusal("the customer key is unknown or withdrawn"))
     }
 
-    /// Finds the customer of a valid key.
+    /// Returns the customer of a key, or `None` if the key is unknown or withdrawn, or its
+    /// customer is not configured.
     ///
-    /// The map is searched by the blake3 hash of the key. A caller cannot choose the
-    /// bytes of a hash, so the time of the comparisons tells nothing about a stored key.
+    /// The map lookup does not run in constant time, but it compares only BLAKE3 hashes. A
+    /// caller cannot choose the bytes of a hash, so the timing reveals nothing about a
+    /// stored key.
     pub(crate) fn customer_of<'a>(
         &self,
         configuration: &'a Configuration,
         hash: KeyHash,
     ) -> Option<&'a str> {
         let record = configuration.keys.get(&hash)?;
-        let withdrawn = record.withdrawn || self.withdrawn.contains(&hash);
+        let withdrawn = record.withdrawn || self.withdrawn_keys.contains(&hash);
         let known = configuration.customers.contains_key(&record.customer);
         (known && !withdrawn).then_some(record.customer.as_str())
     }
 
-    /// Finds the profile of the call's program, or the one that the call names.
+    /// Returns name and content of the profile that applies: the one of the call's program,
+    /// else the one that the call selects. A retired profile applies only to programs that
+    /// are already open.
     fn find_profile(
         &self,
         configuration: &Configuration,
         arrived: &CallArrived,
         customer: Option<&str>,
     ) -> Result<(String, Profile), Refusal> {
-        let of_program = self.programs.profile(arrived, customer)?;
-        let opens = of_program.is_none();
-        let named = of_program.or_else(|| arrived.profile.clone());
-        let name = named.as_deref().unwrap_or(DEFAULT_PROFILE);
+        let program_profile = self.programs.profile(arrived, customer)?;
+        let is_new = program_profile.is_none();
+        let selected = program_profile.or_else(|| arrived.profile.clone());
+        let name = selected.as_deref().unwrap_or(DEFAULT_PROFILE);
         let profile = match configuration.profiles.get(name) {
             Some(profile) => profile.clone(),
             None if name == DEFAULT_PROFILE => Profile::default(),
@@ -119,7 +133,7 @@
                 return Err(Refusal::not_run(RefusalReason::NotFound, "no such profile"));
             }
         };
-        match profile.retired && opens {
+        match profile.retired && is_new {
             true => Err(Refusal::not_run(
                 RefusalReason::NotAllowed,
                 "the profile is retired",
@@ -128,15 +142,15 @@
         }
     }
 
-    /// Finds the group that serves a target: one with active endpoints that have it loaded
-    /// if there is any, and among those the one with the fewest waiting calls for its
-    /// slots.
+    /// Selects the group for a target. Prefers groups with active endpoints that have the
+    /// target loaded, and among these the one with the fewest waiting calls per slot.
     pub(crate) fn group_for(&self, target: &Target) -> Result<GroupKey, Refusal> {
         let serving = self.groups_by_name.values().filter_map(|key| {
             let group = &self.groups[*key];
             let endpoints = group.endpoints.iter().map(|key| &self.endpoints[*key]);
-            let serving = endpoints
-                .filter(|endpoint| !endpoint.is_removed() && endpoint.is_for(target));
+            let serving = endpoints.filter(|endpoint| {
+                !endpoint.is_removed() && endpoint.is_configured_for(target)
+            });
             let serving: Vec<_> = serving.collect();
             let slots: u32 = serving
                 .iter()
@@ -146,7 +160,7 @@
             let load = group.queue.len() as u64 * 1_000 / u64::from(slots.max(1));
             (!serving.is_empty()).then_some((slots == 0, load, *key))
         });
-        let best = serving.min_by_key(|(idle, load, _)| (*idle, *load));
+        let best = serving.min_by_key(|(unavailable, load, _)| (*unavailable, *load));
         best.map(|(_, _, key)| key).ok_or_else(|| match target {
             Target::Model(_) => {
                 Refusal::not_run(RefusalReason::NotFound, "no such model")
@@ -158,7 +172,7 @@
     }
 }
 
-/// The target of an operation and the most tokens to generate.
+/// Returns the target of an operation and the maximum number of tokens to generate.
 fn check_operation(
     operation: &CallOperation,
     route: Option<&Route>,
@@ -173,7 +187,7 @@
         ) => {
             check_model(profile, model)?;
             let limit = profile.max_call_tokens;
-            let max_tokens = max_tokens.map_or(limit, |named| named.min(limit));
+            let max_tokens = max_tokens.map_or(limit, |requested| requested.min(limit));
             Ok((Some(Target::Model(model.clone())), Some(max_tokens)))
         }
         (_, Some(route)) => Ok((Some(Target::Group(route.group.clone())), None)),
@@ -191,7 +205,7 @@
     }
 }
 
-/// Finds the route with the longest prefix of the path, on whole segments.
+/// Finds the route with the longest path prefix that matches whole segments of the path.
 fn find_route<'a>(
     configuration: &'a Configuration,
     path: &str,
--- a/crates/scheduler/src/configure.rs
+++ b/crates/scheduler/src/configure.rs
@@ -1,4 +1,4 @@
-//! Applying a configuration.
+//! Application of a new configuration to endpoints, groups, customers and running calls.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use crate::scheduler::Scheduler;
 
 impl Scheduler {
-    /// Applies a configuration unless a newer one is in force.
+    /// Applies a configuration. Ignored if its revision is lower than the current one.
     pub(crate) fn configure(
         &mut self,
         now_ms: u64,
@@ -24,15 +24,15 @@
             return;
         }
         let withdrawn = configuration.keys.iter().filter(|(_, key)| key.withdrawn);
-        self.withdrawn.extend(withdrawn.map(|(hash, _)| *hash));
-        self.contact_at_ms = self.contact_at_ms.or(Some(now_ms));
+        self.withdrawn_keys.extend(withdrawn.map(|(hash, _)| *hash));
+        self.last_store_contact_at_ms = self.last_store_contact_at_ms.or(Some(now_ms));
         self.customers.configure(&configuration);
         self.quota.configure(now_ms, &configuration);
         self.configure_endpoints(&configuration);
         self.configuration = Some(configuration);
         self.cancel_withdrawn(now_ms, out);
-        self.requeue_moved(now_ms, out);
-        self.collect_endpoints();
+        self.requeue_unserved(now_ms, out);
+        self.drop_unused_endpoints();
     }
 
     fn configure_endpoints(&mut self, configuration: &Configuration) {
@@ -41,7 +41,7 @@
                 Some(key) => self.endpoints[*key].configure(record),
                 None => {
                     let mut endpoint = EndpointRecord::new(name, record);
-                    endpoint.leaving = self.leaving.contains(name);
+                    endpoint.leaving = self.leaving_endpoints.contains(name);
                     let key = self.endpoints.insert(endpoint);
                     self.endpoints_by_name.insert(name.clone(), key);
                 }
@@ -52,11 +52,11 @@
                 self.endpoints[*key].configuration.state = EndpointState::Removed;
             }
         }
-        self.assign_groups();
+        self.rebuild_groups();
     }
 
-    /// Lists the endpoints of each group anew.
-    fn assign_groups(&mut self) {
+    /// Rebuilds the endpoint list of each group and creates missing groups.
+    fn rebuild_groups(&mut self) {
         for group in self.groups.values_mut() {
             group.endpoints.clear();
         }
@@ -74,7 +74,7 @@
             };
             self.groups[group].endpoints.push(key);
         }
-        self.divide_slots();
+        self.update_guaranteed_slots();
     }
 
     fn new_group(&self, name: &str) -> Group {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Ends all calls whose key is no longer valid.
+    /// Cancels all calls whose key is no longer valid.
     pub(crate) fn cancel_withdrawn(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
         let Some(configuration) = self.configuration.clone() else {
             return;
@@ -104,13 +104,14 @@
         for key in withdrawn {
             if self.calls.contains_key(key) {
                 let reason = RefusalReason::InvalidKey;
-                self.cancel(now_ms, key, reason, "the key was withdrawn", out);
+                self.cancel(now_ms, key, reason, "the customer key was withdrawn", out);
             }
         }
     }
 
-    /// Moves waiting calls whose group no longer serves them.
-    pub(crate) fn requeue_moved(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
+    /// Moves waiting calls whose group can no longer serve them to another group, or refuses
+    /// them if there is none.
+    pub(crate) fn requeue_unserved(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
         let waiting: Vec<(CallKey, _)> = self
             .calls
             .iter()
@@ -129,27 +130,28 @@
                 .any(|endpoint| endpoint.is_active() && endpoint.serves(&call.target));
             if !served {
                 group.queue.remove(group.flow(call.customer), key);
-                // Out of its queue, in case no group serves it and it is refused.
+                // The call is in no queue now. `enqueue` refuses it if no group serves it.
                 self.calls[key].state = CallState::AwaitingProgram;
                 self.enqueue(now_ms, key, out);
             }
         }
     }
 
-    /// Forgets removed endpoints without calls, and groups without endpoints and calls.
-    pub(crate) fn collect_endpoints(&mut self) {
-        let gone: Vec<EndpointKey> = self
+    /// Drops removed endpoints that have no running calls, and groups that have neither
+    /// endpoints nor waiting calls.
+    pub(crate) fn drop_unused_endpoints(&mut self) {
+        let unused: Vec<EndpointKey> = self
             .endpoints
             .iter()
             .filter(|(_, endpoint)| endpoint.is_removed())
             .filter(|(_, endpoint)| endpoint.load.own_in_flight() == 0)
             .map(|(key, _)| key)
             .collect();
-        for key in gone {
+        for key in unused {
             if let Some(endpoint) = self.endpoints.remove(key) {
                 self.endpoints_by_name.remove(&endpoint.name);
             }
-            self.releases.forget_endpoint(key);
+            self.pending_releases.remove_endpoint(key);
             for group in self.groups.values_mut() {
                 group.endpoints.retain(|endpoint| *endpoint != key);
             }
--- a/crates/scheduler/src/cost.rs
+++ b/crates/scheduler/src/cost.rs
@@ -1,22 +1,25 @@
-//! The cost of a call in tenths of weighted tokens.
+//! The cost of a call, used to charge customers and to measure a program's attained service.
+//!
+//! The unit is a tenth of a weighted token. One weighted token is the cost of one prompt
+//! token that is not cached.
 
 use crate::event::TokenUsage;
 
-/// Units of cost in a weighted token.
-pub(crate) const TENTHS: u64 = 10;
+/// Cost units per weighted token.
+pub(crate) const TENTHS_PER_TOKEN: u64 = 10;
 
-/// Tenths of a weighted token for a prompt token that is not cached.
+/// Cost of a prompt token that is not cached.
 const PROMPT_TENTHS: u64 = 10;
-/// Tenths of a weighted token for a cached prompt token.
+/// Cost of a prompt token that is read from the prefix cache.
 const CACHED_TENTHS: u64 = 1;
-/// Tenths of a weighted token for a generated token.
+/// Cost of a generated token.
 const GENERATED_TENTHS: u64 = 40;
 
-/// Tenths of a weighted token for a millisecond at a plain service. An engine that
-/// generates 25 tokens a second for a call has the same cost per millisecond.
+/// Cost of a millisecond at a plain service. Equals the cost per millisecond of a model call
+/// that generates 25 tokens per second.
 const SERVICE_TENTHS_PER_MS: u64 = 1;
 
-/// The cost of a model call.
+/// Cost of a model call with these token counts.
 pub fn of_usage(usage: TokenUsage) -> u64 {
     let uncached = usage.prompt_tokens.saturating_sub(usage.cached_tokens);
     let prompt = uncached.saturating_mul(PROMPT_TENTHS);
@@ -25,7 +28,7 @@
     prompt.saturating_add(cached).saturating_add(generated)
 }
 
-/// The cost of a call to a plain service that took `elapsed_ms`.
+/// Cost of a call to a plain service that took `elapsed_ms`. At least 1.
 pub fn of_service_ms(elapsed_ms: u64) -> u64 {
     elapsed_ms.saturating_mul(SERVICE_TENTHS_PER_MS).max(1)
 }
--- a/crates/scheduler/src/customer.rs
+++ b/crates/scheduler/src/customer.rs
@@ -1,4 +1,4 @@
-//! Customers in an arena.
+//! State that the scheduler keeps for each customer.
 
 use std::collections::BTreeMap;
 
@@ -7,35 +7,35 @@
 
 use crate::policy::CustomerId;
 
-/// A customer as the policies know it.
+/// Name, weight and quota state of a customer.
 #[derive(Clone, Debug)]
 pub(crate) struct CustomerRecord {
     pub name: String,
     pub weight: u32,
-    /// Whether the last attempt to take quota found none.
-    short: bool,
-    /// When quota was taken last.
-    taken_at_ms: Option<u64>,
+    /// Whether the last attempt to take quota failed.
+    over_rate: bool,
+    /// Time of the last successful attempt to take quota.
+    quota_taken_at_ms: Option<u64>,
 }
 
 impl CustomerRecord {
-    /// Records that quota was taken.
-    pub fn record_taken(&mut self, now_ms: u64) {
-        self.short = false;
-        self.taken_at_ms = Some(now_ms);
+    /// Records a successful attempt to take quota.
+    pub fn record_quota_taken(&mut self, now_ms: u64) {
+        self.over_rate = false;
+        self.quota_taken_at_ms = Some(now_ms);
     }
 
-    /// Records that quota was short. Returns whether the customer had quota until now.
-    /// A request that was taken and used at this very time does not count: customers
-    /// above their rate get such requests again and again.
-    pub fn record_short(&mut self, now_ms: u64) -> bool {
-        let was_short = self.short || self.taken_at_ms == Some(now_ms);
-        self.short = true;
-        !was_short
+    /// Records a failed attempt to take quota. Returns whether the customer was within its
+    /// rate until now. A success at the same time `now_ms` is not counted as being within
+    /// the rate: a customer above its rate gets single requests through again and again.
+    pub fn record_exhausted(&mut self, now_ms: u64) -> bool {
+        let was_over_rate = self.over_rate || self.quota_taken_at_ms == Some(now_ms);
+        self.over_rate = true;
+        !was_over_rate
     }
 }
 
-/// All customers that the configuration has named.
+/// All customers that any configuration since process start has contained.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Customers {
     records: SlotMap<CustomerId, CustomerRecord>,
@@ -43,8 +43,8 @@
 }
 
 impl Customers {
-    /// Takes over the customers of a configuration. Records of deleted customers stay,
-    /// since their calls may still run.
+    /// Adds new customers and updates weights. Deleted customers are kept, since their calls
+    /// may still be running.
     pub fn configure(&mut self, configuration: &Configuration) {
         for (name, customer) in &configuration.customers {
             match self.by_name.get(name) {
@@ -53,8 +53,8 @@
                     let id = self.records.insert(CustomerRecord {
                         name: name.clone(),
                         weight: customer.weight,
-                        short: false,
-                        taken_at_ms: None,
+                        over_rate: false,
+                        quota_taken_at_ms: None,
                     });
                     self.by_name.insert(name.clone(), id);
                 }
@@ -74,7 +74,7 @@
         self.records.get_mut(id)
     }
 
-    /// Weight of a customer. Calls on open routes together have the weight 1.
+    /// Fair-share weight of a customer. All calls on open routes together have the weight 1.
     pub fn weight(&self, id: CustomerId) -> u32 {
         self.records.get(id).map_or(1, |record| record.weight)
     }
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -1,30 +1,33 @@
-//! Sending waiting calls to endpoints.
+//! Dispatching of waiting calls to endpoints with free capacity.
 
-use crate::call::{Call, CallKey, CallState, Running, Slot, Target};
+use crate::call::{CallKey, CallState, Running, Slot, Target};
+use crate::capacity::GroupCapacity;
 use crate::cost;
 use crate::effect::{Dispatch, Effect};
 use crate::endpoint::EndpointKey;
 use crate::event::TokenUsage;
 use crate::group::GroupKey;
-use crate::policy::{Candidate, CustomerId, OrderedCall, PlacedCall, Placement, Rank};
-use crate::room::Room;
+use crate::policy::{
+    Candidate, CustomerId, Placement, PlacementRequest, QueuedCall, Rank,
+};
 use crate::scheduler::Scheduler;
 
-/// Calls that are offered to the placement policy for one free slot. Bounds the work
-/// when many calls wait for full endpoints.
-const MAX_OFFERED: usize = 64;
+/// Maximum number of calls that the placement policy may hold back in one search for the
+/// next call to dispatch. Bounds the work when many calls wait for busy endpoints.
+const MAX_HELD_BACK: usize = 64;
 
-/// A call that is to be dispatched.
+/// The next call to dispatch, and its endpoint.
 #[derive(Clone, Copy, Debug)]
 struct NextDispatch {
     call: CallKey,
     endpoint: EndpointKey,
-    /// Lowest tag of the customers that could have been served.
+    /// Lowest start tag among the customers whose calls could have been dispatched, see
+    /// [`FairnessPolicy::charge`](crate::policy::FairnessPolicy::charge).
     lowest_tag: u64,
 }
 
 impl Scheduler {
-    /// Dispatches waiting calls while endpoints have room.
+    /// Dispatches waiting calls of all groups while endpoints have capacity.
     pub(crate) fn dispatch_waiting(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
         let groups: Vec<GroupKey> = self.groups_by_name.values().copied().collect();
         for group in groups {
@@ -34,28 +37,30 @@
         }
     }
 
+    /// Selects the next call to dispatch in a group. Skips customers that are over their
+    /// rate limit and targets without free endpoints.
     fn next_dispatch(&mut self, now_ms: u64, group: GroupKey) -> Option<NextDispatch> {
         if self.groups[group].queue.len() == 0 {
             return None;
         }
-        let room = self.room(now_ms, group);
-        if !room.has_any() {
+        let capacity = self.group_capacity(now_ms, group);
+        if !capacity.has_any() {
             return None;
         }
-        let mut unservable: Vec<Target> = Vec::new();
-        let mut short: Vec<CustomerId> = Vec::new();
-        let mut offered = 0;
+        let mut full_targets: Vec<Target> = Vec::new();
+        let mut over_rate: Vec<CustomerId> = Vec::new();
+        let mut held_back = 0;
         let mut lowest_tag = None;
         for call in self.calls_in_order(now_ms, group) {
             let customer = self.calls[call].customer;
-            if unservable.contains(&self.calls[call].target)
-                || customer.is_some_and(|customer| short.contains(&customer))
+            if full_targets.contains(&self.calls[call].target)
+                || customer.is_some_and(|customer| over_rate.contains(&customer))
             {
                 continue;
             }
-            let (endpoints, candidates) = self.candidates(call, &room);
-            if !candidates.iter().any(|candidate| candidate.has_room) {
-                unservable.push(self.calls[call].target.clone());
+            let (endpoints, candidates) = self.candidates(call, &capacity);
+            if !candidates.iter().any(|candidate| candidate.has_capacity) {
+                full_targets.push(self.calls[call].target.clone());
                 continue;
             }
             let tag = self.tag(group, call);
@@ -69,25 +74,28 @@
                         lowest_tag: lowest_tag.unwrap_or(tag),
                     });
                 }
-                short.extend(customer);
+                over_rate.extend(customer);
                 continue;
             }
-            // Calls come in the order of their customers' tags.
+            // Calls are in the order of their customers' tags, so the first one that is held
+            // back has the lowest tag.
             lowest_tag.get_or_insert(tag);
-            offered += 1;
-            if offered >= MAX_OFFERED {
+            held_back += 1;
+            if held_back >= MAX_HELD_BACK {
                 break;
             }
         }
         None
     }
 
+    /// Fairness tag of the call's flow.
     fn tag(&self, group: GroupKey, call: CallKey) -> u64 {
         let group = &self.groups[group];
         group.fairness.tag(group.flow(self.calls[call].customer))
     }
 
-    /// Waiting calls in the order in which they are to run: by customer, then by rank.
+    /// Waiting calls of a group in the order in which they should run: by the fairness tag of
+    /// the flow, then the flow's oldest call, then the rank within the flow.
     fn calls_in_order(&self, now_ms: u64, group: GroupKey) -> Vec<CallKey> {
         let group = &self.groups[group];
         let mut flows: Vec<CustomerId> = group.queue.flows().collect();
@@ -106,15 +114,16 @@
     }
 
     fn rank(&self, now_ms: u64, key: CallKey) -> Rank {
-        self.order.rank(&self.ordered_call(now_ms, key))
+        self.order_policy.rank(&self.queued_call(now_ms, key))
     }
 
-    fn ordered_call(&self, now_ms: u64, key: CallKey) -> OrderedCall {
+    fn queued_call(&self, now_ms: u64, key: CallKey) -> QueuedCall {
         let call = &self.calls[key];
-        let root = call.program.map(|program| self.program_cache.root(program));
-        OrderedCall {
+        let root = call.program.map(|program| self.program_table.root(program));
+        QueuedCall {
             class: call.class,
-            attained_tokens: root.map_or(0, |root| root.attained / cost::TENTHS),
+            attained_tokens: root
+                .map_or(0, |root| root.attained_service / cost::TENTHS_PER_TOKEN),
             program_started_at_ms: root
                 .map_or(call.waiting_since_ms, |root| root.started_at_ms),
             waited_ms: call.waited_ms(now_ms),
@@ -122,32 +131,32 @@
         }
     }
 
-    /// The active endpoints that can serve a call. The endpoint of a failed attempt is
-    /// left out if there is another one.
+    /// The active endpoints that can serve a call. The endpoint of the last failed attempt
+    /// is excluded if there is another one.
     fn candidates(
         &self,
         key: CallKey,
-        room: &Room,
+        capacity: &GroupCapacity,
     ) -> (Vec<EndpointKey>, Vec<Candidate>) {
         let call = &self.calls[key];
-        let mut serving: Vec<_> = room
+        let mut serving: Vec<_> = capacity
             .endpoints
             .iter()
             .filter(|entry| self.endpoints[entry.endpoint].serves(&call.target))
             .collect();
         let others = serving
             .iter()
-            .any(|entry| Some(entry.endpoint) != call.avoid);
-        serving.retain(|entry| !others || Some(entry.endpoint) != call.avoid);
-        let candidate = |entry: &&crate::room::EndpointRoom| {
+            .any(|entry| Some(entry.endpoint) != call.avoid_endpoint);
+        serving.retain(|entry| !others || Some(entry.endpoint) != call.avoid_endpoint);
+        let candidate = |entry: &&crate::capacity::EndpointCapacity| {
             let endpoint = &self.endpoints[entry.endpoint];
             let zone = &endpoint.configuration.availability_zone;
             Candidate {
-                has_room: entry.has_room,
+                has_capacity: entry.has_capacity,
                 own_in_flight: endpoint.load.own_in_flight(),
                 outstanding: entry.outstanding,
                 slots: endpoint.slots(),
-                own_zone: *zone == self.settings.availability_zone,
+                same_zone: *zone == self.settings.availability_zone,
                 cached_tokens: endpoint
                     .prefixes
                     .cached_tokens(&call.prefix_hashes, call.prompt_tokens),
@@ -167,12 +176,12 @@
     ) -> Placement {
         let call = &self.calls[key];
         let group = &mut self.groups[group];
-        let placed = PlacedCall {
+        let request = PlacementRequest {
             prompt_tokens: call.prompt_tokens,
             waited_ms: call.waited_ms(now_ms),
             mean_service_ms: group.service_ms.get().unwrap_or(0),
         };
-        group.placement.place(&placed, candidates, &mut self.rng)
+        group.placement.place(&request, candidates, &mut self.rng)
     }
 
     fn dispatch(
@@ -183,10 +192,10 @@
         out: &mut Vec<Effect>,
     ) {
         let (key, endpoint_key) = (next.call, next.endpoint);
-        let ordered = self.ordered_call(now_ms, key);
-        let priority = self.order.engine_priority(&ordered);
-        let estimate = self.estimate(group, key, endpoint_key);
-        self.charge(group, key, estimate, next.lowest_tag);
+        let queued = self.queued_call(now_ms, key);
+        let priority = self.order_policy.engine_priority(&queued);
+        let estimated_cost = self.estimated_cost(group, key, endpoint_key);
+        self.charge(group, key, estimated_cost, next.lowest_tag);
         let call = &mut self.calls[key];
         let endpoint = &mut self.endpoints[endpoint_key];
         endpoint.load.add(now_ms);
@@ -198,14 +207,14 @@
                 endpoint: endpoint_key,
                 group,
                 taken_at_ms: now_ms,
-                estimate,
+                estimated_cost,
             }),
             sent: false,
-            answered: false,
+            response_started: false,
             cancelled: false,
         });
         if call.failed_attempts == 0 {
-            self.retries.record_call();
+            self.retry_budget.record_call();
         }
         out.push(Effect::Dispatch(Dispatch {
             request_id: call.request_id,
@@ -218,34 +227,51 @@
             repeatable: call.repeatable,
             cache_tag: call
                 .program
-                .map(|key| self.program_cache.tag(key).to_string()),
+                .map(|key| self.program_table.cache_tag(key).to_string()),
             response_headers: call.response_headers.clone(),
         }));
-        self.hold_cache(key, endpoint_key);
+        self.record_cache_holder(key, endpoint_key);
     }
 
-    fn hold_cache(&mut self, key: CallKey, endpoint: EndpointKey) {
+    /// Records that the endpoint will hold cache for the call's program. Drops a pending
+    /// release of that cache.
+    fn record_cache_holder(&mut self, key: CallKey, endpoint: EndpointKey) {
         let call = &self.calls[key];
         if let (Some(program), true) = (call.program, call.is_model_call()) {
             let prefix = call.prefix_hashes.last().copied();
-            self.program_cache.hold(program, endpoint, prefix);
-            let tag = self.program_cache.tag(program);
-            self.releases.forget(endpoint, tag);
+            self.program_table.record_holder(program, endpoint, prefix);
+            let tag = self.program_table.cache_tag(program);
+            self.pending_releases.remove(endpoint, tag);
         }
     }
 
-    /// Removes a call from its queue and charges its customer.
-    fn charge(&mut self, group: GroupKey, key: CallKey, estimate: u64, lowest_tag: u64) {
+    /// Removes a call from its queue and charges its customer with the estimated cost.
+    fn charge(
+        &mut self,
+        group: GroupKey,
+        key: CallKey,
+        estimated_cost: u64,
+        lowest_tag: u64,
+    ) {
         let group = &mut self.groups[group];
         let flow = group.flow(self.calls[key].customer);
         group.queue.remove(flow, key);
         let weight = self.customers.weight(flow);
-        group.fairness.charge(flow, weight, estimate, lowest_tag);
+        group
+            .fairness
+            .charge(flow, weight, estimated_cost, lowest_tag);
     }
 
-    /// Estimated cost of a call at an endpoint, in tenths of weighted tokens.
-    fn estimate(&self, group: GroupKey, key: CallKey, endpoint: EndpointKey) -> u64 {
-        let call: &Call = &self.calls[key];
+    /// Estimated cost of a call at an endpoint, in tenths of weighted tokens. Uses the group's
+    /// mean service time for plain services. For model calls, uses the mean number of
+    /// generated tokens, at most the call's limit, or the limit until a mean is known.
+    fn estimated_cost(
+        &self,
+        group: GroupKey,
+        key: CallKey,
+        endpoint: EndpointKey,
+    ) -> u64 {
+        let call = &self.calls[key];
         let group = &self.groups[group];
         if !call.is_model_call() {
             return cost::of_service_ms(group.service_ms.get().unwrap_or(0));
--- a/crates/scheduler/src/effect.rs
+++ b/crates/scheduler/src/effect.rs
@@ -1,105 +1,108 @@
-//! What the shell carries out for the reducer.
+//! Effects: the outputs of the scheduler, carried out by the I/O layer.
 
 use jayreel_model::{ClassOfService, Incarnation, Refusal, RequestId};
 
-/// One output of the reducer.
+/// One output of the scheduler.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[non_exhaustive]
 pub enum Effect {
-    /// Stop a running call and its stream.
+    /// Abort a running call. Its slot is freed when `CallFinished` or `CallFailed` follows.
     Cancel {
-        /// The call.
+        /// The call to abort.
         request_id: RequestId,
     },
     /// Send a call to an endpoint.
     Dispatch(Dispatch),
-    /// No call is left during a planned stop. A call that arrives later may still be
-    /// accepted; the effect is then repeated.
+    /// No call is left after [`Event::DrainStarted`](crate::Event::DrainStarted). Calls
+    /// that arrive later are still accepted; the effect is repeated after the last of them.
     DrainComplete,
-    /// Pass a call to the instance that owns its program.
+    /// Forward a call to the instance that owns its program.
     Forward {
-        /// The call.
+        /// The call to forward.
         request_id: RequestId,
-        /// The process that serves it.
+        /// The process that owns the program.
         to: Incarnation,
     },
-    /// A root program that had a call here has ended. Nothing is to be done.
+    /// A root program with calls at this instance has ended. Informational, for metrics.
     ProgramEnded {
         /// Name of the customer.
         customer: String,
-        /// Class of the program's profile.
+        /// Scheduling class of the program's profile.
         class: ClassOfService,
-        /// Time from its first call here to its end.
+        /// Time from the first call of the program or its sub-agents at this instance to
+        /// the end, in milliseconds.
         lasted_ms: u64,
     },
-    /// Ask an endpoint whether it is ready, and report with `ProbeFinished`.
+    /// Send a health probe to an endpoint. `ProbeFinished` reports the result.
     Probe {
         /// Name of the endpoint.
         endpoint: String,
         /// IP address and port of the endpoint.
         address: String,
     },
-    /// Answer without an endpoint.
+    /// Answer a call without sending it to an endpoint.
     Reply {
-        /// The call.
+        /// The call to answer.
         request_id: RequestId,
-        /// The answer.
+        /// Content of the answer.
         reply: Reply,
     },
-    /// Refuse a call.
+    /// Answer a call with an error.
     Refuse {
-        /// The call.
+        /// The call to answer.
         request_id: RequestId,
-        /// Why.
+        /// Reason, and whether an endpoint may have processed the call.
         refusal: Refusal,
     },
-    /// Tell an engine to drop the cache of a program, and report with `CacheReleased`.
+    /// Tell an engine to release the cache of a program. `CacheReleased` reports the
+    /// result. Repeated until the engine confirms.
     ReleaseCache {
         /// Name of the endpoint.
         endpoint: String,
-        /// The program's cache tag.
+        /// Cache tag of the program.
         cache_tag: String,
     },
 }
 
-/// Where and how to send a call.
+/// A call to send to an endpoint, with the parameters of the request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Dispatch {
-    /// The call.
+    /// The call to send.
     pub request_id: RequestId,
     /// Name of the endpoint.
     pub endpoint: String,
     /// IP address and port of the endpoint.
     pub address: String,
-    /// The time of the decision. The call is returned as not run if it is sent later
-    /// than the dispatch deadline after it.
+    /// Time of the scheduling decision, in milliseconds of the monotonic clock. If the
+    /// call cannot be sent within the dispatch deadline after this time, it must be
+    /// reported as failed without having run.
     pub decided_at_ms: u64,
-    /// The most tokens to generate, for model engines.
+    /// Maximum number of tokens to generate. `None` for plain services.
     pub max_tokens: Option<u64>,
-    /// Class of the call's profile.
+    /// Scheduling class of the call's profile.
     pub class: ClassOfService,
-    /// Whether the call may be sent twice without harm.
+    /// Whether the call is idempotent, so that it may be sent again after it may have run.
     pub repeatable: bool,
-    /// Engine priority; lower runs first.
+    /// Priority of the call at the engine. Lower values run first.
     pub priority: i32,
-    /// The program's cache tag.
+    /// Cache tag of the call's program. `None` for calls without program.
     pub cache_tag: Option<String>,
-    /// Headers to add to the answer.
+    /// Headers to add to the response to the caller.
     pub response_headers: Vec<(String, String)>,
 }
 
-/// An answer that needs no endpoint.
+/// Answer to an operation on a program, which needs no endpoint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Reply {
-    /// A program was closed.
+    /// The program was closed.
     ProgramClosed,
-    /// A program was opened.
+    /// The program was opened.
     ProgramOpened {
-        /// The token for `Jayreel-Program`.
+        /// Token that the caller sends in `Jayreel-Program`.
         token: String,
-        /// The incarnation for `Jayreel-Epoch`.
+        /// Incarnation that the caller sends in `Jayreel-Epoch`.
         epoch: String,
-        /// The budget in tokens.
+        /// Budget of the program in tokens.
         budget_tokens: u64,
     },
 }
--- a/crates/scheduler/src/endpoint.rs
+++ b/crates/scheduler/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints as this instance sees them.
+//! State that this instance keeps for each endpoint.
 
 use std::collections::BTreeSet;
 
@@ -12,26 +12,27 @@
 use crate::prefix_cache::PrefixCache;
 
 new_key_type! {
-    /// Key of an endpoint in its arena.
+    /// Key of an endpoint in `Scheduler::endpoints`.
     pub(crate) struct EndpointKey;
 }
 
-/// An endpoint and the calls that this instance runs there.
+/// An endpoint with its configuration, health, load and cache contents.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointRecord {
     pub name: String,
     pub configuration: Endpoint,
-    /// Whether the platform's list says that the endpoint is leaving.
+    /// Whether the platform announced that the endpoint is about to be shut down.
     pub leaving: bool,
-    /// Models and adapters that the engine last reported as loaded. `None` until it
-    /// reports: it then counts as having what the configuration says.
+    /// Models and adapters that the engine last reported as loaded. `None` before its first
+    /// report: all models of its configuration are then assumed to be loaded.
     pub loaded: Option<BTreeSet<String>>,
     pub health: Health,
     pub load: Load,
-    /// Slots that this instance may always use.
-    pub part: u32,
-    /// Slots that it uses beyond its part.
+    /// Slots that are reserved for this instance.
+    pub guaranteed_slots: u32,
+    /// Limit of the slots that this instance uses beyond the guaranteed ones.
     pub borrowing: Borrowing,
+    /// Prompt prefixes that the endpoint probably has cached.
     pub prefixes: PrefixCache,
 }
 
@@ -44,13 +45,14 @@
             loaded: None,
             health: Health::new(),
             load: Load::default(),
-            part: 0,
+            guaranteed_slots: 0,
             borrowing: Borrowing::default(),
             prefixes: PrefixCache::default(),
         }
     }
 
-    /// Takes over a changed record. What was learned about another process is dropped.
+    /// Applies a changed configuration record. If the address changed, the endpoint is a
+    /// different process, so its observed health, models and cache contents are dropped.
     pub fn configure(&mut self, configuration: &Endpoint) {
         if self.configuration.address != configuration.address {
             self.health = Health::new();
@@ -60,7 +62,7 @@
         self.configuration = configuration.clone();
     }
 
-    /// Whether new work may go to the endpoint.
+    /// Whether new calls may be sent to the endpoint.
     pub fn is_active(&self) -> bool {
         self.configuration.state == EndpointState::Active
             && self.health.state == HealthState::Active
@@ -71,25 +73,26 @@
         self.configuration.state == EndpointState::Removed
     }
 
-    /// Calls that the endpoint runs at the same time.
+    /// Number of calls that the endpoint runs concurrently. At least 1.
     pub fn slots(&self) -> u32 {
         self.configuration.slots.max(1)
     }
 
-    /// Whether the endpoint is configured for the target. It may have to load it first.
-    pub fn is_for(&self, target: &Target) -> bool {
+    /// Whether the endpoint is configured to serve the target. A model may not be loaded
+    /// yet.
+    pub fn is_configured_for(&self, target: &Target) -> bool {
         match target {
             Target::Model(model) => self.configuration.serves_model(model),
             Target::Group(group) => self.configuration.group == *group,
         }
     }
 
-    /// Whether the endpoint can serve the target now.
+    /// Whether the endpoint is configured to serve the target and has it loaded.
     pub fn serves(&self, target: &Target) -> bool {
         let is_loaded = match (target, &self.loaded) {
             (Target::Model(model), Some(loaded)) => loaded.contains(model),
             _ => true,
         };
-        is_loaded && self.is_for(target)
+        is_loaded && self.is_configured_for(target)
     }
 }
--- a/crates/scheduler/src/event.rs
+++ b/crates/scheduler/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to an instance.
+//! Events: the inputs of the scheduler.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -6,185 +6,193 @@
 use jayreel_model::{Configuration, KeyHash, Ran, RefusalReason, RequestId};
 use serde::{Deserialize, Serialize};
 
-/// One input of the reducer.
+/// One input of the scheduler.
 #[derive(Clone, Debug)]
 #[non_exhaustive]
 pub enum Event {
-    /// A call arrived from a caller, or from another instance.
+    /// A call arrived from a caller, or was forwarded by another instance.
     CallArrived(Box<CallArrived>),
-    /// The dispatching thread is about to write the first byte of the call.
+    /// The first byte of the call is about to be written to the endpoint. From now on the
+    /// endpoint may process the call.
     CallSent {
-        /// The call.
+        /// The call that is being sent.
         request_id: RequestId,
     },
-    /// The first piece of the answer arrived.
+    /// The first part of the endpoint's response arrived. The call cannot be retried any
+    /// more.
     FirstToken {
-        /// The call.
+        /// The call that is being answered.
         request_id: RequestId,
     },
-    /// The call is complete.
+    /// The endpoint has completed the call.
     CallFinished {
-        /// The call.
+        /// The call that ended.
         request_id: RequestId,
-        /// Tokens as reported by the endpoint, if it did.
+        /// Token counts. `None` if the endpoint reported none.
         usage: Option<TokenUsage>,
     },
-    /// The call failed.
+    /// The call failed at the endpoint or on the way to it.
     CallFailed {
-        /// The call.
+        /// The call that failed.
         request_id: RequestId,
-        /// Whether the endpoint may have run it.
+        /// Whether the endpoint may have processed the call.
         ran: Ran,
-        /// The reason.
+        /// Reason code. Only endpoint failures and timeouts are retried.
         reason: RefusalReason,
-        /// Text for the caller and the log.
+        /// Human-readable explanation for the caller and the log.
         message: String,
     },
-    /// The caller went away before the answer was complete.
+    /// The caller closed its connection before the answer was complete.
     CallerGone {
-        /// The call.
+        /// The call to cancel.
         request_id: RequestId,
     },
-    /// An engine answered an order to release cache.
+    /// An engine answered an [`Effect::ReleaseCache`](crate::Effect::ReleaseCache).
     CacheReleased {
         /// Name of the endpoint.
         endpoint: String,
-        /// The cache tag of the order.
+        /// Cache tag from the request.
         cache_tag: String,
-        /// Whether the cache is gone. Otherwise the order is repeated.
+        /// Whether the engine has released the cache. If not, the request is sent again.
         released: bool,
     },
-    /// A newer configuration was read. Older ones are ignored.
+    /// A configuration was read. Ignored if its revision is lower than the current one.
     ConfigurationChanged(Arc<Configuration>),
-    /// The instance begins a planned stop.
+    /// A planned shutdown of the instance begins. Calls are still accepted;
+    /// [`Effect::DrainComplete`](crate::Effect::DrainComplete) tells when none is left.
     DrainStarted,
-    /// The platform's list of leaving endpoints changed.
+    /// The platform announced which endpoints are about to be shut down. They receive no
+    /// new calls.
     EndpointsLeaving {
-        /// Names of all leaving endpoints.
+        /// Names of all such endpoints. Replaces the previous list.
         names: BTreeSet<String>,
     },
-    /// The number of live instances changed.
+    /// The set of live instances changed. Endpoint slots are divided among them.
     FleetChanged {
-        /// Live instances, this one included.
+        /// Number of live instances, including this one.
         live_instances: u32,
-        /// Position of this instance among the sorted names of the live ones, from 0.
+        /// Index of this instance in the sorted names of the live instances.
         position: u32,
     },
-    /// A key was withdrawn, as told by a peer before the configuration arrives.
+    /// A peer reported that a key was withdrawn. Arrives before the configuration that
+    /// contains the withdrawal.
     KeyWithdrawn {
-        /// The key.
+        /// Hash of the withdrawn key.
         key: KeyHash,
     },
     /// An endpoint reported its load.
     LoadReported {
         /// Name of the endpoint.
         endpoint: String,
-        /// The report.
+        /// Load as measured by the endpoint.
         report: LoadReport,
     },
-    /// An engine reported what it has loaded.
+    /// An engine reported its loaded models.
     ModelsReported {
         /// Name of the endpoint.
         endpoint: String,
-        /// Names of the models and adapters that are loaded.
+        /// Names of the models and adapters that are ready for calls.
         loaded: BTreeSet<String>,
     },
-    /// The answer to a probe, or its failure.
+    /// A health probe succeeded or failed.
     ProbeFinished {
         /// Name of the endpoint.
         endpoint: String,
-        /// Whether the endpoint answered and is ready for work.
+        /// Whether the endpoint answered that it is ready for calls.
         healthy: bool,
     },
-    /// The program step or the quota step learned something by itself. Takes up their
-    /// decisions, without the searches of [`Event::Tick`].
+    /// The state of [`ProgramAdmission`](crate::program_admission::ProgramAdmission) or
+    /// [`QuotaAdmission`](crate::quota_admission::QuotaAdmission) changed outside of an
+    /// event. Applies their new decisions without the timeout scans of [`Event::Tick`].
     AdmissionChanged,
-    /// The store was reached, by this instance or by a peer that told so. Without this
-    /// event all keys are refused after the offline grace period.
+    /// The store was reached by this instance, or by a peer that reported it. If no such
+    /// event arrives for the offline grace period, all keys are refused.
     StoreContact {
-        /// Age of the contact.
+        /// Time since the store was reached, in milliseconds.
         age_ms: u64,
     },
-    /// Time passed. Sent at least every 100 ms.
+    /// Drives timeouts, probes and retries. Sent at least every 100 ms.
     Tick,
 }
 
-/// Facts about a call. The body stays outside the reducer.
+/// Metadata of an arriving call. The request body stays outside the scheduler.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallArrived {
-    /// The call.
+    /// Identifies the call in all later events and effects.
     pub request_id: RequestId,
-    /// Hash of the caller's key.
+    /// Hash of the customer key. `None` if the caller sent none.
     pub key: Option<KeyHash>,
-    /// Name of the profile, from the caller's header.
+    /// Name of the profile from the request header. `None` selects the default profile.
     pub profile: Option<String>,
-    /// Program token.
+    /// Token of the program that the call belongs to. `None` for a call without program.
     pub program: Option<String>,
-    /// Token of the parent program, for a sub-agent.
+    /// Token of the parent program, if the call opens the program of a sub-agent.
     pub parent: Option<String>,
-    /// The turn that the caller names.
+    /// Turn number within the program, if the caller sent one.
     pub turn: Option<u32>,
-    /// The incarnation that the caller names.
+    /// Incarnation that the caller got in `Jayreel-Epoch`, if it sent it back.
     pub epoch: Option<String>,
-    /// The caller's idempotency key.
+    /// Idempotency key, if the caller sent one.
     pub idempotency_key: Option<String>,
-    /// Whether another instance forwarded the call here. It is not forwarded again.
+    /// Whether another instance forwarded the call here. A forwarded call is not forwarded
+    /// again.
     pub was_forwarded: bool,
-    /// What is asked for.
+    /// The requested operation.
     pub operation: CallOperation,
 }
 
-/// What a call asks for.
+/// The operation that a call requests.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallOperation {
     /// A chat completion.
     Chat {
-        /// The model.
+        /// Name of the model or adapter.
         model: String,
-        /// The most tokens to generate, if named.
+        /// Maximum number of tokens to generate, if the caller set it.
         max_tokens: Option<u64>,
-        /// Upper bound of the prompt's tokens.
+        /// Upper bound of the number of prompt tokens: the prompt's length in bytes, since
+        /// a token is at least one byte, plus the tokens of the chat template.
         prompt_bound_tokens: u64,
-        /// Hashes of growing prefixes of the messages, shortest first.
+        /// Hashes of increasingly long prefixes of the message list, shortest first.
         prefix_hashes: Vec<u64>,
     },
-    /// Closing a program.
+    /// Closes a program.
     CloseProgram {
-        /// The program token.
+        /// Token of the program.
         token: String,
     },
-    /// Opening a program.
+    /// Opens a program.
     OpenProgram {
-        /// Budget that the caller names, in tokens.
+        /// Requested token budget. `None` for the budget of the profile.
         budget_tokens: Option<u64>,
     },
     /// A request to a plain service.
     Service {
-        /// The path without query.
+        /// URL path without the query.
         path: String,
     },
 }
 
-/// Tokens used by a call.
+/// Token counts of a completed call, as reported by its endpoint.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct TokenUsage {
-    /// All prompt tokens.
+    /// Prompt tokens, including cached ones.
     pub prompt_tokens: u64,
-    /// Prompt tokens served from the prefix cache.
+    /// Prompt tokens that were read from the engine's prefix cache.
     pub cached_tokens: u64,
-    /// Generated tokens.
+    /// Tokens of the answer.
     pub generated_tokens: u64,
 }
 
-/// The load of an endpoint as it reports it, some time after the fact.
+/// Load of an endpoint, measured by the endpoint itself. Covers the calls of all instances.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct LoadReport {
-    /// Calls running at the endpoint.
+    /// Number of calls that the endpoint is running.
     pub running: u32,
-    /// Calls waiting at the endpoint.
+    /// Number of calls that wait in the endpoint's own queue.
     pub waiting: u32,
-    /// Age of the figures when they arrived.
+    /// Time between the measurement and the arrival of the report, in milliseconds.
     pub age_ms: u64,
 }
--- a/crates/scheduler/src/fleet.rs
+++ b/crates/scheduler/src/fleet.rs
@@ -1,20 +1,21 @@
-//! The part of an endpoint's slots that this instance may use.
+//! Division of endpoint slots between the instances of the fleet.
 //!
-//! Instances share endpoints without talking to each other. Each may always use its part
-//! of an endpoint's slots. Beyond that it borrows slots that load reports show as free.
+//! Instances share endpoints without coordinating each call. Each instance has a guaranteed
+//! number of slots at each endpoint. Beyond that it borrows slots that load reports show as
+//! free.
 
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-/// Time between two decisions about the borrowed slots of an endpoint.
+/// Interval at which the limit of borrowed slots of an endpoint is updated.
 pub(crate) const BORROW_PERIOD_MS: u64 = 250;
 
-/// The live instances, as the membership view has them.
+/// Size of the fleet and position of this instance in it, from the membership view.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Fleet {
-    /// At least 1.
+    /// Number of live instances, including this one. At least 1.
     live_instances: u32,
-    /// Position of this instance among the live ones, from 0.
+    /// Index of this instance among the live ones.
     position: u32,
 }
 
@@ -27,44 +28,51 @@
         }
     }
 
+    /// Whether no other instance is live.
     pub fn is_alone(&self) -> bool {
         self.live_instances == 1
     }
 
-    /// The parts of endpoints with these numbers of slots that this instance may always
-    /// use. The slots of all endpoints are numbered through and dealt out to the
-    /// instances in turn, so that the parts of all instances sum to the slots of each
-    /// endpoint. With fewer slots than instances, an instance without a slot shares one
-    /// with another, so that none starves.
-    pub fn parts(&self, slots: &[u32]) -> Vec<u32> {
+    /// Number of guaranteed slots of this instance at each of the endpoints, which have
+    /// `slots` slots.
+    ///
+    /// The slots of all endpoints are numbered consecutively and assigned to the instances
+    /// round-robin, so that the guaranteed slots of all instances add up to the slots of
+    /// each endpoint. If there are fewer slots than instances, an instance without a slot
+    /// shares one with another instance, so that none starves.
+    pub fn guaranteed_slots(&self, slots: &[u32]) -> Vec<u32> {
         let mut first = 0;
-        let mut parts = Vec::with_capacity(slots.len());
+        let mut guaranteed = Vec::with_capacity(slots.len());
         for slots in slots {
-            parts.push(self.dealt(first + slots) - self.dealt(first));
+            guaranteed.push(self.assigned(first + slots) - self.assigned(first));
             first += slots;
         }
-        if parts.iter().all(|part| *part == 0) {
-            let count = parts.len().max(1);
-            let shared = self.position as usize % count;
-            parts
+        if guaranteed.iter().all(|slots| *slots == 0) {
+            let endpoint_count = guaranteed.len().max(1);
+            let shared = self.position as usize % endpoint_count;
+            guaranteed
                 .iter_mut()
                 .skip(shared)
                 .take(1)
-                .for_each(|part| *part = 1);
+                .for_each(|slots| *slots = 1);
         }
-        parts
+        guaranteed
     }
 
-    /// How many of the first `slots` slots are dealt to this instance.
-    fn dealt(&self, slots: u32) -> u32 {
+    /// Number of the first `slots` slots that are assigned to this instance.
+    fn assigned(&self, slots: u32) -> u32 {
         (slots + self.live_instances - 1 - self.position) / self.live_instances
     }
 
-    /// This instance's share of spare slots seen in a report of this age, rounded up or
-    /// down at random. All instances together borrow as many as were spare on average
-    /// over the age of the report, since none of them sees what the others borrowed in
-    /// that time.
-    fn share_of_spare(&self, spare: u32, age_ms: u64, rng: &mut SmallRng) -> u32 {
+    /// Number of spare slots that this instance may borrow in one period, given a load
+    /// report of this age. Rounded up or down at random, so that the expected value is
+    /// exact.
+    ///
+    /// No instance sees what the others have borrowed since the report was made. The share
+    /// is therefore divided by the number of instances and by the number of periods in the
+    /// age of the report, so that all instances together borrow on average as many slots
+    /// as were spare.
+    fn spare_share(&self, spare: u32, age_ms: u64, rng: &mut SmallRng) -> u32 {
         let periods_ms = age_ms.max(BORROW_PERIOD_MS) * u64::from(self.live_instances);
         let share_ms = u64::from(spare) * BORROW_PERIOD_MS;
         let extra = rng.random_range(0..periods_ms) < share_ms % periods_ms;
@@ -72,47 +80,49 @@
     }
 }
 
-/// What is known of the slots of an endpoint beyond the own part.
+/// Slots of an endpoint beyond the guaranteed ones of this instance.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Spare {
-    /// Slots that the last report shows as free.
+pub(crate) struct SpareSlots {
+    /// Number of free slots, from the last load report and the own calls since then.
     pub slots: u32,
-    /// Age of the report.
+    /// Age of that load report.
     pub age_ms: u64,
-    /// Slots that this instance uses beyond its part.
+    /// Number of slots that this instance uses beyond its guaranteed ones.
     pub borrowed: u32,
-    /// The most of these within `BORROW_PERIOD_MS`. Counts a slot whose call has just
-    /// ended.
+    /// Maximum of `borrowed` within the last `BORROW_PERIOD_MS`. Includes slots whose call
+    /// has ended since.
     pub recently_borrowed: u32,
 }
 
-/// Slots of one endpoint that this instance may use beyond its part.
+/// Limits the slots of one endpoint that this instance uses beyond its guaranteed ones.
 ///
-/// A borrowed slot may be used again as long as its endpoint is not full. Slots that
-/// other instances take back are thus lost when their calls end. The limit is kept for
-/// each endpoint: with one for the whole group, all instances moved their borrowed slots
-/// to the few endpoints that reports showed as free, and as many calls waited in the
-/// engines as ran there.
+/// A borrowed slot may be reused for the next call as long as its endpoint is not full. If
+/// another instance takes the slot back, this instance loses it when its call ends.
+///
+/// The limit is kept per endpoint. With one limit for the whole group, all instances moved
+/// their borrowed slots to the few endpoints that reports showed as free, and as many calls
+/// waited in the engines as ran there.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Borrowing {
-    /// Most slots beyond the part.
+    /// Maximum number of borrowed slots until the next update.
     limit: u32,
-    next_at_ms: u64,
+    next_update_at_ms: u64,
 }
 
 impl Borrowing {
-    /// Whether one more slot may be borrowed.
+    /// Whether this instance may borrow one more slot now. Updates the limit once per
+    /// `BORROW_PERIOD_MS`.
     pub fn may_borrow(
         &mut self,
         now_ms: u64,
         fleet: Fleet,
-        spare: Spare,
+        spare: SpareSlots,
         rng: &mut SmallRng,
     ) -> bool {
-        if now_ms >= self.next_at_ms {
-            let share = fleet.share_of_spare(spare.slots, spare.age_ms, rng);
+        if now_ms >= self.next_update_at_ms {
+            let share = fleet.spare_share(spare.slots, spare.age_ms, rng);
             self.limit = spare.recently_borrowed + share;
-            self.next_at_ms = now_ms + BORROW_PERIOD_MS;
+            self.next_update_at_ms = now_ms + BORROW_PERIOD_MS;
         }
         spare.borrowed < self.limit && spare.slots > 0
     }
--- a/crates/scheduler/src/group.rs
+++ b/crates/scheduler/src/group.rs
@@ -1,4 +1,4 @@
-//! Endpoint groups and their queues.
+//! Endpoint groups and their call queues.
 
 use std::collections::BTreeMap;
 
@@ -9,30 +9,31 @@
 use crate::policy::{CustomerId, FairnessPolicy, PlacementPolicy};
 
 new_key_type! {
-    /// Key of a group in its arena.
+    /// Key of a group in `Scheduler::groups`.
     pub(crate) struct GroupKey;
 }
 
-/// Weight of the past in moving means, in eighths.
-const PAST_EIGHTHS: u64 = 7;
+/// Weight of the previous mean in an exponentially weighted mean, in eighths.
+const PREVIOUS_WEIGHT_EIGHTHS: u64 = 7;
 
-/// A group of interchangeable endpoints.
+/// A group of endpoints that share a queue.
 #[derive(Debug)]
 pub(crate) struct Group {
     pub name: String,
-    /// By name of the endpoint.
+    /// Endpoints of the group, sorted by name.
     pub endpoints: Vec<EndpointKey>,
     pub queue: Queue,
     pub fairness: Box<dyn FairnessPolicy>,
     pub placement: Box<dyn PlacementPolicy>,
-    /// Time that a call holds a slot, in milliseconds.
+    /// Mean time that a completed call occupied its slot, in milliseconds.
     pub service_ms: MovingMean,
-    /// Tokens that a call generates.
+    /// Mean number of tokens that a completed call generated.
     pub generated_tokens: MovingMean,
 }
 
 impl Group {
-    /// The flow of a customer's calls.
+    /// The flow (sub-queue) that holds a customer's calls: one per customer, or a common one
+    /// if the fairness policy does not separate customers.
     pub fn flow(&self, customer: Option<CustomerId>) -> CustomerId {
         match self.fairness.separates_customers() {
             true => customer.unwrap_or_default(),
@@ -41,7 +42,7 @@
     }
 }
 
-/// Waiting calls by flow. No flow is empty.
+/// Waiting calls by flow. Empty flows are removed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
     flows: BTreeMap<CustomerId, Vec<CallKey>>,
@@ -66,6 +67,7 @@
         }
     }
 
+    /// Number of waiting calls in all flows.
     pub fn len(&self) -> usize {
         self.len
     }
@@ -78,12 +80,13 @@
         self.flows.keys().copied()
     }
 
+    /// Waiting calls of a flow, in the order in which they were queued.
     pub fn calls(&self, flow: CustomerId) -> &[CallKey] {
         self.flows.get(&flow).map_or(&[], Vec::as_slice)
     }
 }
 
-/// An exponentially weighted mean.
+/// An exponentially weighted moving mean.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MovingMean {
     mean: Option<u64>,
@@ -93,10 +96,12 @@
     pub fn record(&mut self, sample: u64) {
         self.mean = Some(match self.mean {
             None => sample,
-            Some(mean) => (mean * PAST_EIGHTHS + sample).div_ceil(PAST_EIGHTHS + 1),
+            Some(mean) => (mean * PREVIOUS_WEIGHT_EIGHTHS + sample)
+                .div_ceil(PREVIOUS_WEIGHT_EIGHTHS + 1),
         });
     }
 
+    /// The current mean. `None` before the first sample.
     pub fn get(&self) -> Option<u64> {
         self.mean
     }
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -1,34 +1,43 @@
-//! Health of an endpoint, from the outcome of calls and from probes.
+//! Health of an endpoint, derived from the outcome of calls and from probes.
+//!
+//! Failing calls take an endpoint out of service. From then on probes are sent, and enough
+//! successful ones in a row put it back into service.
 
-/// Broken calls in a row that make an endpoint suspect. A single bad answer can be the
-/// fault of the request.
-const FAILURES_UNTIL_SUSPECT: u32 = 3;
-/// Failed probes in a row that make a suspect endpoint down.
-const PROBES_UNTIL_DOWN: u32 = 3;
-/// Pause before the first probe. Doubles with each failed probe.
-const PROBE_PAUSE_MS: u64 = 500;
-const MAX_PROBE_PAUSE_MS: u64 = 16_000;
-/// A probe without an answer for this long has failed.
+/// Number of consecutive failed calls after which an endpoint becomes suspect. It is above 1
+/// because a single invalid response can be caused by the request.
+const SUSPECT_AFTER_FAILURES: u32 = 3;
+/// Number of consecutive failed probes after which a suspect endpoint counts as down.
+const DOWN_AFTER_FAILED_PROBES: u32 = 3;
+/// Time between two probes. Doubles with each consecutive failed probe.
+const PROBE_INTERVAL_MS: u64 = 500;
+/// Upper bound of the time between two probes.
+const MAX_PROBE_INTERVAL_MS: u64 = 16_000;
+/// A probe that has no answer after this time counts as failed.
 const PROBE_TIMEOUT_MS: u64 = 5_000;
-/// An endpoint that fails again within this time needs twice as many good probes.
+/// An endpoint that becomes suspect again within this time after its recovery is flapping:
+/// the number of successful probes that it needs doubles.
 const FLAP_WINDOW_MS: u64 = 60_000;
-const MAX_NEEDED_PROBES: u32 = 8;
+/// Upper bound of the number of successful probes that an endpoint needs to recover.
+const MAX_REQUIRED_PROBES: u32 = 8;
 
-/// What a failed call says about its endpoint.
+/// Classification of a failed call with respect to its endpoint's health.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Failure {
-    /// The answer was bad or the connection broke.
-    Broken,
-    /// No connection, or no progress within the deadline.
+    /// The response was invalid or the connection closed before its end. Several in a row
+    /// make the endpoint suspect.
+    InvalidResponse,
+    /// The connection failed, or the call made no progress within the deadline. Makes the
+    /// endpoint suspect at once.
     Unresponsive,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum HealthState {
+    /// In service.
     Active,
-    /// Gets no calls until probes succeed.
+    /// Receives no calls until enough probes succeed.
     Suspect,
-    /// As `Suspect`, after several failed probes.
+    /// Like `Suspect`, after several consecutive failed probes.
     Down,
 }
 
@@ -36,39 +45,46 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Health {
     pub state: HealthState,
-    broken_in_a_row: u32,
+    consecutive_failures: u32,
     failed_probes: u32,
-    good_probes: u32,
-    /// Good probes in a row that make the endpoint active again. At least 1.
-    needed_probes: u32,
-    /// Set while a probe is on its way.
+    successful_probes: u32,
+    /// Number of consecutive successful probes that make the endpoint active again. At
+    /// least 1.
+    required_probes: u32,
+    /// Start of the probe in flight. `None` if there is none.
     probe_sent_at_ms: Option<u64>,
     next_probe_at_ms: u64,
-    returned_at_ms: Option<u64>,
+    /// Time of the last change back to `Active`. `None` before the first recovery.
+    recovered_at_ms: Option<u64>,
 }
 
 impl Health {
     pub fn new() -> Health {
         Health {
             state: HealthState::Active,
-            broken_in_a_row: 0,
+            consecutive_failures: 0,
             failed_probes: 0,
-            good_probes: 0,
-            needed_probes: 1,
+            successful_probes: 0,
+            required_probes: 1,
             probe_sent_at_ms: None,
             next_probe_at_ms: 0,
-            returned_at_ms: None,
+            recovered_at_ms: None,
         }
     }
 
+    /// Records a completed call.
     pub fn record_success(&mut self) {
-        self.broken_in_a_row = 0;
+        self.consecutive_failures = 0;
     }
 
+    /// Records a failed call. Takes the endpoint out of service if there were enough
+    /// failures.
     pub fn record_failure(&mut self, now_ms: u64, failure: Failure) {
-        self.broken_in_a_row += 1;
+        self.consecutive_failures += 1;
         let suspect = match failure {
-            Failure::Broken => self.broken_in_a_row >= FAILURES_UNTIL_SUSPECT,
+            Failure::InvalidResponse => {
+                self.consecutive_failures >= SUSPECT_AFTER_FAILURES
+            }
             Failure::Unresponsive => true,
         };
         if suspect && self.state == HealthState::Active {
@@ -77,21 +93,22 @@
     }
 
     fn become_suspect(&mut self, now_ms: u64) {
-        let flapped = self
-            .returned_at_ms
-            .is_some_and(|returned| now_ms < returned + FLAP_WINDOW_MS);
-        self.needed_probes = match flapped {
-            true => (self.needed_probes * 2).min(MAX_NEEDED_PROBES),
+        let is_flapping = self
+            .recovered_at_ms
+            .is_some_and(|recovered| now_ms < recovered + FLAP_WINDOW_MS);
+        self.required_probes = match is_flapping {
+            true => (self.required_probes * 2).min(MAX_REQUIRED_PROBES),
             false => 1,
         };
         self.state = HealthState::Suspect;
         self.failed_probes = 0;
-        self.good_probes = 0;
+        self.successful_probes = 0;
         self.probe_sent_at_ms = None;
-        self.next_probe_at_ms = now_ms + PROBE_PAUSE_MS;
+        self.next_probe_at_ms = now_ms + PROBE_INTERVAL_MS;
     }
 
-    /// Whether a probe is to be sent now. Counts an unanswered probe as failed.
+    /// Whether a probe must be sent now, in which case it is recorded as sent. Counts a
+    /// probe that has timed out as failed.
     pub fn take_due_probe(&mut self, now_ms: u64) -> bool {
         if self.state == HealthState::Active {
             return false;
@@ -108,35 +125,35 @@
         due
     }
 
-    /// Records the answer to a probe. An answer that no probe waits for is ignored.
+    /// Records the result of a probe. Ignored if no probe is in flight.
     pub fn record_probe(&mut self, now_ms: u64, healthy: bool) {
         if self.state == HealthState::Active || self.probe_sent_at_ms.take().is_none() {
             return;
         }
         match healthy {
-            true => self.record_good_probe(now_ms),
+            true => self.record_successful_probe(now_ms),
             false => self.record_failed_probe(now_ms),
         }
     }
 
-    fn record_good_probe(&mut self, now_ms: u64) {
+    fn record_successful_probe(&mut self, now_ms: u64) {
         self.failed_probes = 0;
-        self.good_probes += 1;
-        self.next_probe_at_ms = now_ms + PROBE_PAUSE_MS;
-        if self.good_probes >= self.needed_probes {
+        self.successful_probes += 1;
+        self.next_probe_at_ms = now_ms + PROBE_INTERVAL_MS;
+        if self.successful_probes >= self.required_probes {
             self.state = HealthState::Active;
-            self.broken_in_a_row = 0;
-            self.returned_at_ms = Some(now_ms);
+            self.consecutive_failures = 0;
+            self.recovered_at_ms = Some(now_ms);
         }
     }
 
     fn record_failed_probe(&mut self, now_ms: u64) {
-        self.good_probes = 0;
+        self.successful_probes = 0;
         self.failed_probes += 1;
-        if self.failed_probes >= PROBES_UNTIL_DOWN {
+        if self.failed_probes >= DOWN_AFTER_FAILED_PROBES {
             self.state = HealthState::Down;
         }
-        let pause_ms = PROBE_PAUSE_MS << self.failed_probes.min(10);
-        self.next_probe_at_ms = now_ms + pause_ms.min(MAX_PROBE_PAUSE_MS);
+        let interval_ms = PROBE_INTERVAL_MS << self.failed_probes.min(10);
+        self.next_probe_at_ms = now_ms + interval_ms.min(MAX_PROBE_INTERVAL_MS);
     }
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,7 +1,10 @@
-//! The reducer: all decisions of one instance as a function of events.
+//! The scheduler of one instance: decides which calls are accepted, when they run and at
+//! which endpoint.
 //!
-//! [`Scheduler::apply`] takes one [`Event`] and returns the [`Effect`]s to carry out. It
-//! reads no clock and does no I/O, so every decision can be replayed from its events.
+//! The scheduler is a state machine without I/O. [`Scheduler::apply`] takes one [`Event`]
+//! with its time and returns the [`Effect`]s that the caller has to carry out. It reads no
+//! clock and all random choices come from a seed in the settings, so every decision can be
+//! reproduced from the sequence of events.
 
 pub mod cost;
 pub mod effect;
@@ -14,6 +17,7 @@
 
 mod arrival;
 mod call;
+mod capacity;
 mod check;
 mod configure;
 mod customer;
@@ -26,10 +30,9 @@
 mod models;
 mod outcome;
 mod prefix_cache;
-mod program_cache;
+mod program_table;
 mod release;
 mod retry;
-mod room;
 mod scheduler;
 mod wait;
 
--- a/crates/scheduler/src/models.rs
+++ b/crates/scheduler/src/models.rs
@@ -1,4 +1,4 @@
-//! Models that engines have loaded, and calls that use them.
+//! Reports of the models that engines have loaded, and queries of the calls that use them.
 
 use std::collections::BTreeSet;
 
@@ -8,8 +8,9 @@
 use crate::scheduler::Scheduler;
 
 impl Scheduler {
-    /// Takes over what an engine has loaded, and returns whether that changed. Calls that
-    /// wait for a group that no longer serves their model move to another one.
+    /// Records the models and adapters that an engine has loaded, and returns whether they
+    /// changed. Waiting calls whose group no longer serves their model move to another
+    /// group.
     pub(crate) fn models_reported(
         &mut self,
         now_ms: u64,
@@ -24,13 +25,13 @@
         let has_changed = record.loaded.as_ref() != Some(&loaded);
         record.loaded = Some(loaded);
         if has_changed {
-            self.requeue_moved(now_ms, out);
+            self.requeue_unserved(now_ms, out);
         }
         has_changed
     }
 
-    /// Whether a call for the model or adapter, dispatched at `by_ms` or before, has
-    /// not ended at the endpoint. A cancelled call counts until the endpoint has stopped.
+    /// Whether the endpoint still runs a call for the model or adapter that was dispatched
+    /// at `by_ms` or earlier. A cancelled call counts until the endpoint has stopped it.
     pub fn has_call_dispatched_by(
         &self,
         endpoint: &str,
@@ -48,7 +49,7 @@
     }
 }
 
-/// When the call took its slot at the endpoint. `None` if it has none there.
+/// Time at which the call took its slot at the endpoint. `None` if it has no slot there.
 fn taken_at_ms(call: &Call, endpoint: EndpointKey) -> Option<u64> {
     match call.state {
         CallState::Running(running) => running
--- a/crates/scheduler/src/outcome.rs
+++ b/crates/scheduler/src/outcome.rs
@@ -1,4 +1,4 @@
-//! How calls end.
+//! Completion, failure, retry and cancellation of calls.
 
 use jayreel_model::{Ran, Refusal, RefusalReason, RequestId};
 
@@ -10,11 +10,11 @@
 use crate::program_admission::CallOutcome;
 use crate::scheduler::{Scheduler, refuse};
 
-/// Most attempts of one call.
+/// Maximum number of attempts per call, including the first one.
 const MAX_ATTEMPTS: u32 = 3;
 
 impl Scheduler {
-    /// Records that a byte of the call may reach the endpoint from now on.
+    /// Handles `CallSent`: from now on a byte of the call may have reached the endpoint.
     pub(crate) fn mark_sent(&mut self, now_ms: u64, request_id: RequestId) {
         self.quota_sent(now_ms, request_id);
         if let Some(running) = self.running_mut(request_id) {
@@ -22,15 +22,15 @@
         }
     }
 
-    /// Records that the caller has part of the answer.
-    pub(crate) fn mark_answered(&mut self, request_id: RequestId) {
+    /// Handles `FirstToken`: from now on the caller may have received part of the answer.
+    pub(crate) fn mark_response_started(&mut self, request_id: RequestId) {
         if let Some(running) = self.running_mut(request_id) {
             running.sent = true;
-            running.answered = true;
+            running.response_started = true;
         }
     }
 
-    /// Ends a call that is complete.
+    /// Handles `CallFinished`.
     pub(crate) fn finish(
         &mut self,
         now_ms: u64,
@@ -44,13 +44,13 @@
         if let Some(slot) = running.slot {
             let cost = self.actual_cost(now_ms, key, slot, usage);
             self.free_slot(now_ms, key, slot, cost);
-            self.observe(now_ms, slot, usage);
+            self.record_statistics(now_ms, slot, usage);
         }
         self.remove_call(now_ms, key, Some(CallOutcome::Finished { usage }), out);
-        self.collect_endpoints();
+        self.drop_unused_endpoints();
     }
 
-    /// Ends or repeats a call that failed at its endpoint.
+    /// Handles `CallFailed`: retries the call if that is allowed, otherwise refuses it.
     pub(crate) fn fail(
         &mut self,
         now_ms: u64,
@@ -63,8 +63,8 @@
         let Some((key, running)) = self.running(request_id) else {
             return;
         };
-        let attempt_ran = truthful(ran, running.sent);
-        let ran = truthful(attempt_ran, self.calls[key].may_have_run);
+        let attempt_ran = corrected_ran(ran, running.sent);
+        let ran = corrected_ran(attempt_ran, self.calls[key].may_have_run);
         if let Some(slot) = running.slot {
             let cost = match attempt_ran {
                 Ran::No => 0,
@@ -76,8 +76,8 @@
         if attempt_ran == Ran::No {
             self.return_quota(now_ms, key);
         }
-        if self.may_repeat(key, running, ran, reason) {
-            self.repeat(now_ms, key, running, ran, out);
+        if self.may_retry(key, running, ran, reason) {
+            self.retry(now_ms, key, running, ran, out);
         } else {
             self.remove_call(now_ms, key, Some(CallOutcome::Failed { ran }), out);
             if !running.cancelled {
@@ -90,9 +90,10 @@
                 refuse(out, request_id, refusal);
             }
         }
-        self.collect_endpoints();
+        self.drop_unused_endpoints();
     }
 
+    /// Records a failure for the health of the endpoint, if the endpoint caused it.
     fn record_failure(
         &mut self,
         now_ms: u64,
@@ -105,16 +106,17 @@
             _ if running.cancelled => return,
             (RefusalReason::EndpointTimeout, _) => Failure::Unresponsive,
             (RefusalReason::EndpointFailed, Ran::No) => Failure::Unresponsive,
-            (RefusalReason::EndpointFailed, _) => Failure::Broken,
+            (RefusalReason::EndpointFailed, _) => Failure::InvalidResponse,
             _ => return,
         };
         let health = &mut self.endpoints[slot.endpoint].health;
         health.record_failure(now_ms, failure);
     }
 
-    /// Whether a failed call may be sent again: its caller has no part of the answer,
-    /// and no byte reached an endpoint unless the call is repeatable.
-    fn may_repeat(
+    /// Whether a failed call may be retried. The endpoint must have caused the failure, the
+    /// caller must not have received any part of the answer, and unless the call is
+    /// idempotent, no byte of it may have reached an endpoint. Takes from the retry budget.
+    fn may_retry(
         &mut self,
         key: CallKey,
         running: Running,
@@ -122,20 +124,21 @@
         reason: RefusalReason,
     ) -> bool {
         let call = &self.calls[key];
-        let endpoint_fault = matches!(
+        let is_endpoint_failure = matches!(
             reason,
             RefusalReason::EndpointFailed | RefusalReason::EndpointTimeout
         );
-        endpoint_fault
+        is_endpoint_failure
             && running.slot.is_some()
             && !running.cancelled
-            && !running.answered
+            && !running.response_started
             && (call.repeatable || ran == Ran::No)
             && call.failed_attempts + 1 < MAX_ATTEMPTS
-            && self.retries.take()
+            && self.retry_budget.take()
     }
 
-    fn repeat(
+    /// Puts a failed call back into a queue.
+    fn retry(
         &mut self,
         now_ms: u64,
         key: CallKey,
@@ -146,12 +149,12 @@
         let call = &mut self.calls[key];
         call.failed_attempts += 1;
         call.may_have_run |= ran != Ran::No;
-        call.avoid = running.slot.map(|slot| slot.endpoint);
+        call.avoid_endpoint = running.slot.map(|slot| slot.endpoint);
         call.waiting_since_ms = now_ms;
         self.enqueue(now_ms, key, out);
     }
 
-    /// Ends a call whose caller went away.
+    /// Handles `CallerGone`.
     pub(crate) fn caller_gone(
         &mut self,
         now_ms: u64,
@@ -160,12 +163,13 @@
     ) {
         if let Some(key) = self.calls_by_id.get(&request_id).copied() {
             let reason = RefusalReason::CallerGone;
-            self.cancel(now_ms, key, reason, "the caller went away", out);
+            let message = "the caller closed its connection";
+            self.cancel(now_ms, key, reason, message, out);
         }
     }
 
-    /// Ends a call for its caller. A running call keeps its slot until its endpoint
-    /// reports the end.
+    /// Refuses a call and aborts it if it is running. A running call keeps its slot until
+    /// `CallFinished` or `CallFailed` reports that the endpoint has stopped.
     pub(crate) fn cancel(
         &mut self,
         now_ms: u64,
@@ -182,15 +186,15 @@
         };
         if !running.cancelled {
             running.cancelled = true;
-            // The dispatching thread may write before it learns of the cancellation, so
-            // even a call without `CallSent` may have run.
+            // The thread that dispatches the call may send it before it learns of the
+            // cancellation, so the call may run even if no `CallSent` has arrived.
             refusal.ran = Ran::Unknown;
             out.push(Effect::Cancel { request_id });
             refuse(out, request_id, refusal);
         }
     }
 
-    /// Refuses a call that holds no slot.
+    /// Refuses a call that is not running.
     pub(crate) fn refuse_waiting(
         &mut self,
         now_ms: u64,
@@ -200,14 +204,14 @@
     ) {
         let call = &self.calls[key];
         let request_id = call.request_id;
-        refusal.ran = truthful(refusal.ran, call.may_have_run);
+        refusal.ran = corrected_ran(refusal.ran, call.may_have_run);
         let outcome = CallOutcome::Failed { ran: refusal.ran };
         self.remove_call(now_ms, key, Some(outcome), out);
         refuse(out, request_id, refusal);
     }
 
-    /// The cost of an attempt that reached its endpoint. Without reported usage the
-    /// estimate stands.
+    /// Cost of an attempt that may have reached its endpoint. Falls back to the estimate for
+    /// a model call without reported token counts.
     fn actual_cost(
         &self,
         now_ms: u64,
@@ -217,27 +221,31 @@
     ) -> u64 {
         match usage {
             Some(usage) => cost::of_usage(usage),
-            None if self.calls[key].is_model_call() => slot.estimate,
+            None if self.calls[key].is_model_call() => slot.estimated_cost,
             None => cost::of_service_ms(now_ms.saturating_sub(slot.taken_at_ms)),
         }
     }
 
-    /// Frees a slot and replaces the estimated cost by the actual one.
+    /// Frees a slot, charges the actual instead of the estimated cost to the customer, and
+    /// adds it to the program's attained service.
     fn free_slot(&mut self, now_ms: u64, key: CallKey, slot: Slot, cost: u64) {
         self.endpoints[slot.endpoint].load.remove(now_ms);
         let call = &self.calls[key];
         if let Some(program) = call.program {
-            self.program_cache.attain(program, cost);
+            self.program_table.add_service(program, cost);
         }
         if let Some(group) = self.groups.get_mut(slot.group) {
             let flow = group.flow(call.customer);
             let weight = self.customers.weight(flow);
-            group.fairness.settle(flow, weight, slot.estimate, cost);
+            group
+                .fairness
+                .settle(flow, weight, slot.estimated_cost, cost);
         }
     }
 
-    /// Learns from a complete call. Failed calls would distort the means.
-    fn observe(&mut self, now_ms: u64, slot: Slot, usage: Option<TokenUsage>) {
+    /// Updates the health and the group's means from a completed call. Failed calls are left
+    /// out because they would distort the means.
+    fn record_statistics(&mut self, now_ms: u64, slot: Slot, usage: Option<TokenUsage>) {
         self.endpoints[slot.endpoint].health.record_success();
         let Some(group) = self.groups.get_mut(slot.group) else {
             return;
@@ -249,7 +257,8 @@
         }
     }
 
-    /// Removes a call, frees what it holds and tells the steps of admission.
+    /// Removes a call from its queue and its program. `outcome` is passed on to program
+    /// admission; `None` if program admission has ended the call itself.
     pub(crate) fn remove_call(
         &mut self,
         now_ms: u64,
@@ -268,12 +277,12 @@
             }
             CallState::AwaitingProgram | CallState::Running(_) => {}
         }
-        if let (true, Some(outcome)) = (call.in_program_step, outcome) {
+        if let (true, Some(outcome)) = (call.in_program_admission, outcome) {
             self.programs.end(now_ms, call.request_id, outcome);
         }
         if let Some(program) = call.program {
-            let releases = self.program_cache.leave(now_ms, program);
-            self.release(now_ms, releases, out);
+            let releases = self.program_table.end_call(now_ms, program);
+            self.request_releases(now_ms, releases, out);
         }
     }
 
@@ -294,8 +303,8 @@
     }
 }
 
-/// Corrects a statement that a call did not run after a byte may have been sent.
-fn truthful(ran: Ran, may_have_run: bool) -> Ran {
+/// Replaces `Ran::No` by `Ran::Unknown` if a byte of the call may have reached an endpoint.
+fn corrected_ran(ran: Ran, may_have_run: bool) -> Ran {
     match ran {
         Ran::No if may_have_run => Ran::Unknown,
         ran => ran,
--- a/crates/scheduler/src/policy/mod.rs
+++ b/crates/scheduler/src/policy/mod.rs
@@ -1,4 +1,5 @@
-//! Scheduling policies. Each trait has its baselines beside it.
+//! Scheduling policies. Each trait has a default implementation and one or more simple
+//! baselines that measurements compare it with.
 
 mod admission;
 mod fairness;
@@ -6,15 +7,15 @@
 mod placement;
 mod retention;
 
-pub use self::admission::{AdmissionCall, AdmissionPolicy, ExpectedWait, WaitBound};
+pub use self::admission::{AdmissionPolicy, AdmissionRequest, ExpectedWait, WaitBound};
 pub use self::fairness::{FairnessPolicy, NoFairness, StartTimeFairQueueing};
 pub use self::order::{
-    FirstComeFirstServed, LeastAttainedService, OldestProgram, OrderPolicy, OrderedCall,
+    FirstComeFirstServed, LeastAttainedService, OldestProgram, OrderPolicy, QueuedCall,
     Rank,
 };
 pub use self::placement::{
-    CacheAffinity, Candidate, FewestOutstanding, PlacedCall, Placement, PlacementPolicy,
-    RoundRobin,
+    CacheAffinity, Candidate, FewestOutstanding, Placement, PlacementPolicy,
+    PlacementRequest, RoundRobin,
 };
 pub use self::retention::{KeepUntilEnd, RetentionPolicy, ReturnHistogram};
 
@@ -25,11 +26,12 @@
 };
 
 new_key_type! {
-    /// Key of a customer. The null key stands for calls on open routes.
+    /// Identifies a customer within the scheduler. The null key stands for the calls on open
+    /// routes, which have no customer.
     pub struct CustomerId;
 }
 
-/// Creates the order policy of the settings.
+/// Creates the order policy that the settings select.
 pub(crate) fn order(settings: &PolicySettings) -> Box<dyn OrderPolicy> {
     match settings.order {
         OrderKind::FirstComeFirstServed => Box::new(FirstComeFirstServed),
@@ -41,7 +43,7 @@
     }
 }
 
-/// Creates the fairness policy of the settings, one for each group.
+/// Creates the fairness policy that the settings select. Each endpoint group needs its own.
 pub(crate) fn fairness(settings: &PolicySettings) -> Box<dyn FairnessPolicy> {
     match settings.fairness {
         FairnessKind::None => Box::new(NoFairness),
@@ -49,7 +51,7 @@
     }
 }
 
-/// Creates the placement policy of the settings, one for each group.
+/// Creates the placement policy that the settings select. Each endpoint group needs its own.
 pub(crate) fn placement(settings: &PolicySettings) -> Box<dyn PlacementPolicy> {
     match settings.placement {
         PlacementKind::RoundRobin => Box::<RoundRobin>::default(),
@@ -62,7 +64,7 @@
     }
 }
 
-/// Creates the retention policy of the settings.
+/// Creates the retention policy that the settings select.
 pub(crate) fn retention(settings: &PolicySettings) -> Box<dyn RetentionPolicy> {
     match settings.retention {
         RetentionKind::KeepUntilEnd => Box::new(KeepUntilEnd),
@@ -72,7 +74,7 @@
     }
 }
 
-/// Creates the admission policy of the settings.
+/// Creates the admission policy that the settings select.
 pub(crate) fn admission(settings: &PolicySettings) -> Box<dyn AdmissionPolicy> {
     match settings.admission {
         AdmissionKind::WaitBound => Box::new(WaitBound),
--- a/crates/scheduler/src/policy/order.rs
+++ b/crates/scheduler/src/policy/order.rs
@@ -1,105 +1,110 @@
-//! Which waiting call of a customer runs next.
+//! Order policies: which of a customer's waiting calls runs next.
 
 use std::fmt::Debug;
 
 use jayreel_model::ClassOfService;
 
-/// Levels that a class starts above the lowest one.
-const STANDARD_LEVELS: u64 = 1;
-const BATCH_LEVELS: u64 = 3;
+/// Number of levels that calls of a class start above interactive calls, see
+/// [`LeastAttainedService`].
+const STANDARD_LEVEL_OFFSET: u64 = 1;
+const BATCH_LEVEL_OFFSET: u64 = 3;
 
-/// A waiting call as seen by an [`OrderPolicy`].
+/// The properties of a waiting call that an [`OrderPolicy`] uses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct OrderedCall {
-    /// Class of the call's profile.
+pub struct QueuedCall {
+    /// Scheduling class of the call's profile.
     pub class: ClassOfService,
-    /// Service that the whole program, sub-agents included, has attained, in weighted
-    /// tokens.
+    /// Cost of all ended calls of the program and its sub-agents, in weighted tokens (see
+    /// [`crate::cost`]). 0 for a call without program.
     pub attained_tokens: u64,
-    /// Arrival of the first call of the whole program.
+    /// Arrival of the first call of the program or its sub-agents. For a call without
+    /// program, the time since when it waits.
     pub program_started_at_ms: u64,
-    /// Time that the call has waited.
+    /// Time that the call has waited so far.
     pub waited_ms: u64,
-    /// Position of the call in the order of arrival.
+    /// Number of the call in the order of arrival at this instance.
     pub sequence: u64,
 }
 
-/// Order of calls: the lowest runs first.
+/// Sort key of a waiting call, compared lexicographically. The lowest rank runs first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Rank(pub u64, pub u64, pub u64);
 
-/// Decides which waiting call of a customer runs next.
+/// Orders the waiting calls of a customer, here and in the engine's own queue.
 pub trait OrderPolicy: Debug + Send {
-    /// The rank of a waiting call.
-    fn rank(&self, call: &OrderedCall) -> Rank;
+    /// Sort key of a waiting call.
+    fn rank(&self, call: &QueuedCall) -> Rank;
 
-    /// The priority of the call at its engine. Lower runs first.
-    fn engine_priority(&self, call: &OrderedCall) -> i32;
+    /// Priority that is sent to the engine with the call. Lower values run first.
+    fn engine_priority(&self, call: &QueuedCall) -> i32;
 }
 
-/// Baseline: by arrival of the call.
+/// Baseline: orders calls by their own arrival.
 #[derive(Clone, Copy, Debug)]
 pub struct FirstComeFirstServed;
 
 impl OrderPolicy for FirstComeFirstServed {
-    fn rank(&self, call: &OrderedCall) -> Rank {
+    fn rank(&self, call: &QueuedCall) -> Rank {
         Rank(0, 0, call.sequence)
     }
 
-    fn engine_priority(&self, _call: &OrderedCall) -> i32 {
+    fn engine_priority(&self, _call: &QueuedCall) -> i32 {
         0
     }
 }
 
-/// By arrival of the program's first call.
+/// Orders calls by the arrival of the first call of their program.
 #[derive(Clone, Copy, Debug)]
 pub struct OldestProgram;
 
 impl OrderPolicy for OldestProgram {
-    fn rank(&self, call: &OrderedCall) -> Rank {
+    fn rank(&self, call: &QueuedCall) -> Rank {
         Rank(0, call.program_started_at_ms, call.sequence)
     }
 
-    fn engine_priority(&self, call: &OrderedCall) -> i32 {
-        class_levels(call.class) as i32
+    fn engine_priority(&self, call: &QueuedCall) -> i32 {
+        class_level_offset(call.class) as i32
     }
 }
 
-/// By attained service of the whole program, in levels that double in size.
+/// Multi-level least attained service: programs that have received less service run first.
 ///
-/// Programs of one level run in the order of their start. Serving them in turn instead
-/// would let all of them finish late.
+/// The level of a call rises with the service that its whole program has received; each
+/// level covers twice as much service as the one below. Programs of one level run in the
+/// order of their start: taking turns among them would delay the completion of all of them.
 #[derive(Clone, Copy, Debug)]
 pub struct LeastAttainedService {
-    /// Size of the lowest level in weighted tokens. At least 1.
+    /// Service covered by the lowest level, in weighted tokens. At least 1.
     pub quantum_tokens: u64,
-    /// A call rises by one level each time it has waited this long. At least 1.
+    /// Waiting time that moves a call one level closer to running. Prevents starvation. At
+    /// least 1.
     pub ageing_step_ms: u64,
 }
 
 impl LeastAttainedService {
-    fn level(&self, call: &OrderedCall) -> u64 {
+    /// Level of a call. 0 runs first.
+    fn level(&self, call: &QueuedCall) -> u64 {
         let quanta = call.attained_tokens / self.quantum_tokens.max(1);
         let attained_level = u64::from((quanta + 1).ilog2());
-        let risen = call.waited_ms / self.ageing_step_ms.max(1);
-        (class_levels(call.class) + attained_level).saturating_sub(risen)
+        let aged_levels = call.waited_ms / self.ageing_step_ms.max(1);
+        (class_level_offset(call.class) + attained_level).saturating_sub(aged_levels)
     }
 }
 
 impl OrderPolicy for LeastAttainedService {
-    fn rank(&self, call: &OrderedCall) -> Rank {
+    fn rank(&self, call: &QueuedCall) -> Rank {
         Rank(self.level(call), call.program_started_at_ms, call.sequence)
     }
 
-    fn engine_priority(&self, call: &OrderedCall) -> i32 {
+    fn engine_priority(&self, call: &QueuedCall) -> i32 {
         self.level(call) as i32
     }
 }
 
-fn class_levels(class: ClassOfService) -> u64 {
+fn class_level_offset(class: ClassOfService) -> u64 {
     match class {
         ClassOfService::Interactive => 0,
-        ClassOfService::Standard => STANDARD_LEVELS,
-        ClassOfService::Batch => BATCH_LEVELS,
+        ClassOfService::Standard => STANDARD_LEVEL_OFFSET,
+        ClassOfService::Batch => BATCH_LEVEL_OFFSET,
     }
 }
--- a/crates/scheduler/src/policy/placement.rs
+++ b/crates/scheduler/src/policy/placement.rs
@@ -1,76 +1,80 @@
-//! Which endpoint runs a call.
+//! Placement policies: which endpoint of a group runs a call.
 
 use std::fmt::Debug;
 
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-/// Slow-down of a call by a full batch, in thousandths of the mean service time.
-const FULL_BATCH_COST_PERMILLE: u64 = 250;
+/// Extra service time of a call at an endpoint whose slots are all in use, in thousandths of
+/// the mean service time. Engines process concurrent calls in one batch, which slows each of
+/// them down.
+const FULL_BATCH_SLOWDOWN_PERMILLE: u64 = 250;
 
-/// Candidates whose cost exceeds the lowest by no more than this are equally good. Load
-/// reports lag, so smaller differences mean nothing, and always taking the best would
-/// send all instances to the same endpoint.
+/// Candidates whose cost exceeds the lowest cost by at most this percentage, or by
+/// [`NEAR_BEST_MS`] if that is more, count as equally good. Load reports lag, so smaller
+/// differences carry no information, and always choosing the best candidate would send the
+/// calls of all instances to the same endpoint.
 const NEAR_BEST_PERCENT: u64 = 10;
+/// Lower bound of the tolerance above, in milliseconds.
 const NEAR_BEST_MS: u64 = 5;
 
-/// Load of the candidates, in percent of their slots, above which computing a cached
-/// prefix again takes slots from other calls.
+/// Load of all candidates, in percent of their slots, above which recomputing a cached prefix
+/// is assumed to take capacity from other calls.
 const CONTENDED_ABOVE_PERCENT: u64 = 50;
 
-/// Weight of a recomputation beyond its own time, in percent for each percent of load
-/// above that. At full load it is 500.
+/// Weight of the time that a recomputation takes from other calls, in percent per percent of
+/// load above [`CONTENDED_ABOVE_PERCENT`]. At full load the weight is 500 percent.
 const RECOMPUTE_WEIGHT_SLOPE: u64 = 10;
 
-/// An active endpoint that can serve a call.
+/// An active endpoint that serves the call's target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Candidate {
     /// Whether this instance may send another call there now.
-    pub has_room: bool,
-    /// Calls of this instance at the endpoint.
+    pub has_capacity: bool,
+    /// Number of calls of this instance at the endpoint.
     pub own_in_flight: u32,
-    /// Estimated calls of all instances at the endpoint.
+    /// Estimated number of calls of all instances at the endpoint.
     pub outstanding: u32,
-    /// Calls that the endpoint runs at the same time. At least 1.
+    /// Number of calls that the endpoint runs concurrently. At least 1.
     pub slots: u32,
-    /// Whether the endpoint is in the instance's availability zone.
-    pub own_zone: bool,
-    /// Prompt tokens that the endpoint is believed to have cached.
+    /// Whether the endpoint is in the availability zone of this instance.
+    pub same_zone: bool,
+    /// Estimated number of prompt tokens that the endpoint has in its prefix cache.
     pub cached_tokens: u64,
 }
 
-/// A call to be placed.
+/// The properties of a waiting call that a [`PlacementPolicy`] uses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct PlacedCall {
-    /// Estimated tokens of the prompt.
+pub struct PlacementRequest {
+    /// Estimated number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Time that the call has waited.
+    /// Time that the call has waited so far.
     pub waited_ms: u64,
-    /// Mean service time in the group.
+    /// Mean service time of calls in the endpoint group. 0 if none was observed yet.
     pub mean_service_ms: u64,
 }
 
-/// Where a call goes.
+/// Decision about a waiting call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Placement {
-    /// To the candidate with this index, which has room.
+    /// Send the call to the candidate with this index, which has capacity.
     Candidate(usize),
-    /// It waits.
+    /// Leave the call in the queue.
     Hold,
 }
 
-/// Decides which endpoint runs a call. One instance per group.
+/// Selects the endpoint of a call. One instance per group.
 pub trait PlacementPolicy: Debug + Send {
-    /// Places a call on one of the candidates that have room, or holds it.
+    /// Selects one of the candidates that have capacity, or leaves the call in the queue.
     fn place(
         &mut self,
-        call: &PlacedCall,
+        call: &PlacementRequest,
         candidates: &[Candidate],
         rng: &mut SmallRng,
     ) -> Placement;
 }
 
-/// Baseline: each endpoint in turn.
+/// Baseline: uses all endpoints in turn.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoundRobin {
     next: usize,
@@ -79,14 +83,14 @@
 impl PlacementPolicy for RoundRobin {
     fn place(
         &mut self,
-        _call: &PlacedCall,
+        _call: &PlacementRequest,
         candidates: &[Candidate],
         _rng: &mut SmallRng,
     ) -> Placement {
         let count = candidates.len();
         let chosen = (0..count)
             .map(|offset| (self.next + offset) % count)
-            .find(|index| candidates[*index].has_room);
+            .find(|index| candidates[*index].has_capacity);
         match chosen {
             Some(index) => {
                 self.next = index + 1;
@@ -97,34 +101,36 @@
     }
 }
 
-/// Baseline: fewest outstanding calls of this instance.
+/// Baseline: uses the endpoint with the fewest calls of this instance, at random among equals.
 #[derive(Clone, Copy, Debug)]
 pub struct FewestOutstanding;
 
 impl PlacementPolicy for FewestOutstanding {
     fn place(
         &mut self,
-        _call: &PlacedCall,
+        _call: &PlacementRequest,
         candidates: &[Candidate],
         rng: &mut SmallRng,
     ) -> Placement {
         let costs = candidates.iter().enumerate();
         let costs: Vec<(usize, u64)> = costs
-            .filter(|(_, candidate)| candidate.has_room)
+            .filter(|(_, candidate)| candidate.has_capacity)
             .map(|(index, candidate)| (index, u64::from(candidate.own_in_flight)))
             .collect();
-        random_of_lowest(&costs, |lowest| lowest, rng)
+        random_near_lowest(&costs, |lowest| lowest, rng)
     }
 }
 
-/// The cached prefix against the expected wait.
+/// Uses the endpoint with the lowest expected time to first token, weighing a cached prompt
+/// prefix against the expected wait and the cost of another availability zone.
 #[derive(Clone, Copy, Debug)]
 pub struct CacheAffinity {
-    /// Time that an engine needs for a prompt token that is not cached.
+    /// Time that an engine needs to process a prompt token that is not cached, in
+    /// microseconds.
     pub prefill_us_per_token: u64,
-    /// Gain in expected time that justifies another availability zone.
+    /// Cost of an endpoint in another availability zone, as expected time.
     pub zone_cost_ms: u64,
-    /// Longest time that a call waits for a full endpoint.
+    /// Maximum time that a call waits for a busy endpoint while another one is free.
     pub hold_ms: u64,
 }
 
@@ -133,30 +139,31 @@
         tokens.saturating_mul(self.prefill_us_per_token) / 1_000
     }
 
-    /// Expected time until the first token at a candidate, in milliseconds, and the time
-    /// that computing tokens again takes from other calls.
+    /// Cost of a candidate in milliseconds: the expected time until the first token, plus
+    /// the weighted time that recomputing tokens cached elsewhere takes from other calls.
     fn cost_ms(
         &self,
-        call: &PlacedCall,
+        call: &PlacementRequest,
         candidate: &Candidate,
         contention: &Contention,
     ) -> u64 {
         let uncached = call.prompt_tokens.saturating_sub(candidate.cached_tokens);
         let prefill_ms = self.prefill_ms(uncached);
-        let again = contention.most_cached_tokens - candidate.cached_tokens;
-        let again_ms = self.prefill_ms(again) * contention.recompute_percent / 100;
-        let zone_ms = match candidate.own_zone {
+        let recomputed = contention.most_cached_tokens - candidate.cached_tokens;
+        let recompute_ms =
+            self.prefill_ms(recomputed) * contention.recompute_percent / 100;
+        let zone_ms = match candidate.same_zone {
             true => 0,
             false => self.zone_cost_ms,
         };
-        expected_wait_ms(call, candidate) + prefill_ms + again_ms + zone_ms
+        expected_wait_ms(call, candidate) + prefill_ms + recompute_ms + zone_ms
     }
 }
 
 impl PlacementPolicy for CacheAffinity {
     fn place(
         &mut self,
-        call: &PlacedCall,
+        call: &PlacementRequest,
         candidates: &[Candidate],
         rng: &mut SmallRng,
     ) -> Placement {
@@ -169,25 +176,27 @@
                 })
                 .collect()
         };
-        let roomy = costs(|candidate| candidate.has_room);
-        let full = costs(|candidate| !candidate.has_room);
+        let free = costs(|candidate| candidate.has_capacity);
+        let busy = costs(|candidate| !candidate.has_capacity);
         let lowest = |costs: &[(usize, u64)]| costs.iter().map(|(_, cost)| *cost).min();
-        let full_is_better = match (lowest(&roomy), lowest(&full)) {
-            (Some(roomy), Some(full)) => full < roomy,
+        let busy_is_better = match (lowest(&free), lowest(&busy)) {
+            (Some(free), Some(busy)) => busy < free,
             _ => false,
         };
-        let known = call.mean_service_ms > 0;
-        if full_is_better && known && call.waited_ms < self.hold_ms {
+        let service_time_known = call.mean_service_ms > 0;
+        if busy_is_better && service_time_known && call.waited_ms < self.hold_ms {
             return Placement::Hold;
         }
-        random_of_lowest(&roomy, near_best, rng)
+        random_near_lowest(&free, near_best, rng)
     }
 }
 
-/// What a recomputation costs beyond its own time.
+/// Effect on other calls if a prefix is recomputed although a candidate has it cached.
 struct Contention {
+    /// Longest cached prefix of the prompt at any candidate.
     most_cached_tokens: u64,
-    /// Weight of the time that other calls lose.
+    /// Weight of the recomputation time that other calls lose. Grows with the load of the
+    /// candidates; 0 while enough slots are free.
     recompute_percent: u64,
 }
 
@@ -207,26 +216,28 @@
     }
 }
 
-/// Expected wait at a candidate: the time until a slot is free, and the slow-down by the
-/// calls that run beside it.
-fn expected_wait_ms(call: &PlacedCall, candidate: &Candidate) -> u64 {
+/// Expected delay at a candidate: the time until a slot is free, plus the slowdown caused by
+/// calls that run concurrently.
+fn expected_wait_ms(call: &PlacementRequest, candidate: &Candidate) -> u64 {
     let slots = u64::from(candidate.slots.max(1));
     let outstanding = u64::from(candidate.outstanding);
-    let ahead = match candidate.has_room {
+    let ahead = match candidate.has_capacity {
         true => (outstanding + 1).saturating_sub(slots),
         false => (outstanding + 1).saturating_sub(slots).max(1),
     };
     let queue_ms = ahead * call.mean_service_ms / slots;
-    let batch = outstanding.min(slots) * call.mean_service_ms / slots;
-    queue_ms + batch * FULL_BATCH_COST_PERMILLE / 1_000
+    let batch_ms = outstanding.min(slots) * call.mean_service_ms / slots;
+    queue_ms + batch_ms * FULL_BATCH_SLOWDOWN_PERMILLE / 1_000
 }
 
+/// Highest cost that counts as equally good as the lowest cost.
 fn near_best(lowest_ms: u64) -> u64 {
     lowest_ms + (lowest_ms * NEAR_BEST_PERCENT / 100).max(NEAR_BEST_MS)
 }
 
-/// Chooses randomly among the candidates whose cost is at most `limit(lowest)`.
-fn random_of_lowest(
+/// Picks a random candidate among those whose cost is at most `limit` of the lowest cost.
+/// `costs` holds pairs of candidate index and cost. Without candidates the call is held.
+fn random_near_lowest(
     costs: &[(usize, u64)],
     limit: impl Fn(u64) -> u64,
     rng: &mut SmallRng,
--- a/crates/scheduler/src/prefix_cache.rs
+++ b/crates/scheduler/src/prefix_cache.rs
@@ -1,32 +1,36 @@
-//! Which prompt prefixes an endpoint is believed to have cached.
+//! Estimate of the prompt prefixes that an endpoint has cached, from the calls that this
+//! instance sent to it.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// Prefixes remembered for each endpoint. The least recently used ones are forgotten, as
-/// in the engine.
+/// Maximum number of prefixes per endpoint. The least recently used ones are evicted, as in
+/// the engine.
 const CAPACITY: usize = 8_192;
 
-/// Prefixes of the calls that this instance sent to one endpoint.
+/// Prompt prefixes of the calls that this instance sent to one endpoint.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PrefixCache {
+    /// Entries by prefix hash.
     entries: HashMap<u64, Entry>,
-    /// Prefix hash by use number. Holds exactly the entries of `entries`.
-    by_use: BTreeMap<u64, u64>,
-    uses: u64,
+    /// Prefix hashes by the number of their last use, for eviction. Contains exactly the
+    /// prefixes in `entries`.
+    by_last_use: BTreeMap<u64, u64>,
+    /// Number of uses so far, of all prefixes.
+    use_count: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Entry {
-    use_number: u64,
+    last_use: u64,
     length: Length,
 }
 
 /// Length of a prefix in tokens.
 #[derive(Clone, Copy, Debug)]
 enum Length {
-    /// The prefix was a whole prompt.
+    /// Length of a whole prompt that was equal to the prefix.
     Known(u64),
-    /// The lowest estimate from the prompts that begin with the prefix.
+    /// Lowest estimate derived from the longer prompts that begin with the prefix.
     Estimated(u64),
 }
 
@@ -37,6 +41,7 @@
         }
     }
 
+    /// The more accurate of two lengths of the same prefix.
     fn refine(self, other: Length) -> Length {
         match (self, other) {
             (Length::Known(_), _) => self,
@@ -48,46 +53,49 @@
 }
 
 impl PrefixCache {
-    /// Records that the endpoint computes all prefixes of a prompt, shortest first.
-    /// Messages of unknown length are taken to be equally long.
+    /// Records that a prompt was sent to the endpoint, which will cache all its prefixes.
+    /// `prefix_hashes` has one hash per message, shortest prefix first. The length of a
+    /// prefix that was no whole prompt before is estimated as if all messages had the same
+    /// length.
     pub fn record(&mut self, prefix_hashes: &[u64], prompt_tokens: u64) {
         let count = prefix_hashes.len();
         for (index, hash) in prefix_hashes.iter().enumerate() {
             let observed = match index + 1 == count {
                 true => Length::Known(prompt_tokens),
                 false => {
-                    let part = index as u64 + 1;
-                    Length::Estimated(prompt_tokens * part / count as u64)
+                    let messages = index as u64 + 1;
+                    Length::Estimated(prompt_tokens * messages / count as u64)
                 }
             };
-            let known = self.remove(*hash);
-            self.uses += 1;
+            let previous = self.remove(*hash);
+            self.use_count += 1;
             let entry = Entry {
-                use_number: self.uses,
-                length: known.map_or(observed, |entry| entry.length.refine(observed)),
+                last_use: self.use_count,
+                length: previous.map_or(observed, |entry| entry.length.refine(observed)),
             };
             self.entries.insert(*hash, entry);
-            self.by_use.insert(self.uses, *hash);
+            self.by_last_use.insert(self.use_count, *hash);
         }
         while self.entries.len() > CAPACITY {
-            if let Some((_, hash)) = self.by_use.pop_first() {
+            if let Some((_, hash)) = self.by_last_use.pop_first() {
                 self.entries.remove(&hash);
             }
         }
     }
 
-    /// Forgets a prefix that the endpoint was told to release.
+    /// Removes a prefix that the endpoint was told to release.
     pub fn forget(&mut self, prefix_hash: u64) {
         self.remove(prefix_hash);
     }
 
     fn remove(&mut self, prefix_hash: u64) -> Option<Entry> {
         let entry = self.entries.remove(&prefix_hash)?;
-        self.by_use.remove(&entry.use_number);
+        self.by_last_use.remove(&entry.last_use);
         Some(entry)
     }
 
-    /// Estimated cached tokens of a prompt, from its prefixes, shortest first.
+    /// Estimated number of tokens of a prompt that the endpoint has cached, from the longest
+    /// known prefix. `prefix_hashes` has the shortest prefix first.
     pub fn cached_tokens(&self, prefix_hashes: &[u64], prompt_tokens: u64) -> u64 {
         let mut longest_first = prefix_hashes.iter().rev();
         let longest = longest_first.find_map(|hash| self.entries.get(hash));
--- a/crates/scheduler/src/program_admission.rs
+++ b/crates/scheduler/src/program_admission.rs
@@ -1,4 +1,5 @@
-//! The program step of admission: ownership, order, budget and idempotency.
+//! Interface between the scheduler and program management, which decides whether a call of a
+//! program may run: ownership, order of turns, token budget and idempotency.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::fmt::Debug;
@@ -8,117 +9,121 @@
 use crate::effect::Reply;
 use crate::event::{CallArrived, CallOperation, TokenUsage};
 
-/// A checked call that asks for its place in a program.
+/// A call that passed the configuration checks, for a decision by [`ProgramAdmission`].
 #[derive(Clone, Copy, Debug)]
 pub struct ProgramCall<'a> {
-    /// The facts of the call.
+    /// Metadata of the call.
     pub arrived: &'a CallArrived,
-    /// The authenticated customer. `None` on open routes.
+    /// Name of the authenticated customer. `None` on open routes.
     pub customer: Option<&'a str>,
-    /// Name of the profile that applies.
+    /// Name of the call's profile.
     pub profile_name: &'a str,
-    /// The profile that applies.
+    /// Content of the call's profile.
     pub profile: &'a Profile,
-    /// The most tokens to generate under the profile.
+    /// Maximum number of tokens to generate under the profile. `None` unless the call is a
+    /// chat completion.
     pub max_tokens: Option<u64>,
-    /// Whether the call may be sent twice without harm.
+    /// Whether the call is idempotent.
     pub repeatable: bool,
 }
 
-/// The answer of the program step to a call.
+/// Decision about a call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ProgramDecision {
-    /// The call may run. [`ProgramAdmission::end`] follows exactly once.
+    /// The call may run. The scheduler calls [`ProgramAdmission::end`] exactly once.
     Proceed(ProgramGrant),
-    /// An earlier call of the program has not ended. A decision follows in
-    /// [`ProgramChanges::decided`] unless [`ProgramAdmission::end`] is called before.
+    /// The call must wait, usually because an earlier call of the program has not ended. A
+    /// decision follows in [`ProgramChanges::decided`] unless [`ProgramAdmission::end`] is
+    /// called before.
     Wait,
-    /// Another instance owns the program.
+    /// Another instance owns the program and must handle the call.
     Forward {
-        /// The process that serves it.
+        /// The process that owns the program.
         to: Incarnation,
     },
-    /// The call is refused.
+    /// The call is rejected.
     Refuse(Refusal),
-    /// The call is answered without an endpoint.
+    /// The call is an operation on a program and is complete.
     Reply(Reply),
 }
 
 /// Permission to run a call.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ProgramGrant {
-    /// The program. `None` for a program of one call.
+    /// The program that the call belongs to. `None` for a call without program.
     pub program: Option<ProgramIdentity>,
-    /// The most tokens to generate under the remaining budget.
+    /// Maximum number of tokens to generate under the remaining budget.
     pub max_tokens: Option<u64>,
-    /// Headers to add to the answer.
+    /// Headers to add to the response to the caller.
     pub response_headers: Vec<(String, String)>,
 }
 
-/// A program as the scheduling policies know it.
+/// Identifies a program towards the scheduler and the engines.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ProgramIdentity {
-    /// The cache tag. Unique for each program and never used again.
+    /// Tag of the program's cache at engines. Unique and never reused.
     pub cache_tag: String,
-    /// The cache tag of the root program. Equal to `cache_tag` for a root.
+    /// Cache tag of the root program. Equal to `cache_tag` if the program is a root.
     pub root: String,
 }
 
-/// How a call that the program step let proceed has ended.
+/// How a call ended that was waiting or allowed to run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallOutcome {
-    /// The call is complete.
+    /// The call completed.
     Finished {
-        /// Tokens as reported by the endpoint, if it did.
+        /// Token counts. `None` if the endpoint reported none.
         usage: Option<TokenUsage>,
     },
-    /// The call failed or was refused or cancelled.
+    /// The call failed, was refused or was cancelled.
     Failed {
-        /// Whether it may have run.
+        /// Whether an endpoint may have processed the call.
         ran: Ran,
     },
 }
 
-/// What the program step decided since it was last asked.
+/// Decisions made since the last [`ProgramAdmission::take_changes`].
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ProgramChanges {
-    /// Decisions about calls that were told to wait. Never [`ProgramDecision::Wait`].
+    /// Decisions about calls that had to wait. Never [`ProgramDecision::Wait`].
     pub decided: Vec<(RequestId, ProgramDecision)>,
-    /// Cache tags of programs that ended.
+    /// Cache tags of programs that have ended.
     pub ended: Vec<String>,
 }
 
-/// The program step.
+/// Decides which calls of programs may run, and when.
 pub trait ProgramAdmission: Debug + Send {
-    /// The profile that the call's program token names. `None` if the call names no
-    /// program.
+    /// Returns the name of the profile of the call's program. `None` if the call belongs to
+    /// no program.
     ///
     /// # Errors
     ///
-    /// A refusal if the token is malformed, unknown or not of this customer.
+    /// Returns a refusal if the program token is malformed, unknown or of another customer.
     fn profile(
         &self,
         arrived: &CallArrived,
         customer: Option<&str>,
     ) -> Result<Option<String>, Refusal>;
 
-    /// Decides about a call.
+    /// Decides whether an arriving call may run.
     fn admit(&mut self, now_ms: u64, call: ProgramCall<'_>) -> ProgramDecision;
 
-    /// Records the end of a call that waits or may proceed.
+    /// Records the end of a call that was waiting or allowed to run.
     fn end(&mut self, now_ms: u64, request_id: RequestId, outcome: CallOutcome);
 
-    /// Returns and forgets the decisions since the last call.
+    /// Returns the decisions since the last call of this method.
     fn take_changes(&mut self, now_ms: u64) -> ProgramChanges;
 }
 
-/// Programs of a single instance: calls in order of arrival, without budget, turns or
-/// idempotency records.
+/// Program management of a single instance: runs the calls of a program one at a time in the
+/// order of arrival, without budgets, turn numbers or idempotency records.
 #[derive(Clone, Debug, Default)]
 pub struct LocalPrograms {
+    /// Number of programs opened so far, used for tokens.
     opened: u64,
+    /// Open programs by token.
     programs: BTreeMap<String, LocalProgram>,
-    /// Programs of calls that wait or run.
+    /// Program tokens of the calls that are waiting or running.
     calls: HashMap<RequestId, String>,
     changes: ProgramChanges,
 }
--- a/crates/scheduler/src/quota_admission.rs
+++ b/crates/scheduler/src/quota_admission.rs
@@ -1,41 +1,44 @@
-//! The quota step: rate and burst of a customer.
+//! Interface between the scheduler and the rate limits of customers.
 
 use std::fmt::Debug;
 
 use jayreel_model::Configuration;
 
-/// The answer of the quota step to a call that is about to be dispatched.
+/// Result of taking quota for a call that is about to be dispatched.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QuotaDecision {
-    /// One request was taken from the customer's bucket. [`QuotaAdmission::sent`] or
-    /// [`QuotaAdmission::give_back`] follows.
+    /// One request was taken from the customer's token bucket. [`QuotaAdmission::sent`]
+    /// follows when the first byte of the call is sent, [`QuotaAdmission::give_back`] if the
+    /// call did not run.
     Taken,
-    /// The customer's share at this instance is used up.
+    /// The customer has no quota left at this instance.
     Exhausted {
-        /// Time after which a call can succeed.
+        /// Time after which quota may be available again, in milliseconds.
         retry_after_ms: u64,
     },
 }
 
-/// The quota step. A request is taken when the decision to send a call is made, not when
-/// the call arrives: otherwise calls that waited for an endpoint could be sent together
-/// and exceed the customer's burst.
+/// Enforces the rate limits of customers.
+///
+/// Quota is taken when a call is dispatched, not when it arrives. Otherwise calls that
+/// waited for an endpoint could be sent all at once and exceed the customer's burst.
 pub trait QuotaAdmission: Debug + Send {
-    /// Takes over the customers of a configuration.
+    /// Applies the rate limits of a new configuration.
     fn configure(&mut self, now_ms: u64, configuration: &Configuration);
 
-    /// Takes one request from the customer's bucket. If it is short, the step tries to
-    /// get more of the customer's rate from other instances.
+    /// Takes one request from the customer's token bucket. If the bucket is empty, the
+    /// implementation should try to obtain unused quota from other instances.
     fn take(&mut self, now_ms: u64, customer: &str) -> QuotaDecision;
 
-    /// The first byte of a call that was taken at `taken_at_ms` was sent.
+    /// Records that the first byte of a call was sent whose quota was taken at
+    /// `taken_at_ms`.
     fn sent(&mut self, now_ms: u64, customer: &str, taken_at_ms: u64);
 
-    /// Returns the request of a call that was taken at `taken_at_ms` and did not run.
+    /// Gives back the quota that was taken at `taken_at_ms` for a call that did not run.
     fn give_back(&mut self, now_ms: u64, customer: &str, taken_at_ms: u64);
 }
 
-/// Grants every request. For measurements of the policies alone.
+/// Applies no rate limits. For measurements of the scheduling policies alone.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UnlimitedQuota;
 
--- a/crates/scheduler/src/retry.rs
+++ b/crates/scheduler/src/retry.rs
@@ -1,16 +1,18 @@
-//! The budget of repetitions.
+//! The retry budget, which limits retries to a percentage of calls.
 
-/// Repetitions that may follow at once after a calm time.
-const BURST: u64 = 10;
-/// Hundredths of a repetition in one repetition.
-const UNIT: u64 = 100;
+/// Maximum number of unused retries that accumulate, and can then be spent in a burst.
+const MAX_BALANCE_RETRIES: u64 = 10;
+/// Balance that one retry costs. Each call adds the percentage of the budget.
+const RETRY_COST: u64 = 100;
+/// Upper bound of the balance.
+const MAX_BALANCE: u64 = MAX_BALANCE_RETRIES * RETRY_COST;
 
-/// Allows repetitions as a percentage of calls, so that failing endpoints do not
-/// multiply the load.
+/// Limits retries to a percentage of calls, so that retries do not multiply the load when
+/// endpoints fail.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RetryBudget {
     percent: u32,
-    /// Hundredths of a repetition. At most `BURST * UNIT`.
+    /// Available retries, in hundredths. At most `MAX_BALANCE`.
     balance: u64,
 }
 
@@ -18,21 +20,21 @@
     pub fn new(percent: u32) -> RetryBudget {
         let balance = match percent {
             0 => 0,
-            _ => BURST * UNIT,
+            _ => MAX_BALANCE,
         };
         RetryBudget { percent, balance }
     }
 
-    /// Records the first dispatch of a call.
+    /// Adds to the budget for the first dispatch of a call.
     pub fn record_call(&mut self) {
-        self.balance = (self.balance + u64::from(self.percent)).min(BURST * UNIT);
+        self.balance = (self.balance + u64::from(self.percent)).min(MAX_BALANCE);
     }
 
-    /// Takes one repetition if there is one.
+    /// Takes one retry from the budget. Returns whether one was available.
     pub fn take(&mut self) -> bool {
-        let allowed = self.balance >= UNIT;
+        let allowed = self.balance >= RETRY_COST;
         if allowed {
-            self.balance -= UNIT;
+            self.balance -= RETRY_COST;
         }
         allowed
     }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The reducer and its state.
+//! The scheduler's state, and the handling of events.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use crate::group::{Group, GroupKey};
 use crate::policy::{self, AdmissionPolicy, OrderPolicy, RetentionPolicy};
 use crate::program_admission::{LocalPrograms, ProgramAdmission};
-use crate::program_cache::ProgramCache;
+use crate::program_table::ProgramTable;
 use crate::quota_admission::{QuotaAdmission, UnlimitedQuota};
 use crate::release::PendingReleases;
 use crate::retry::RetryBudget;
@@ -32,8 +32,7 @@
 }
 
 impl SchedulerBuilder {
-    /// Starts from the settings of the instance, with [`LocalPrograms`] and
-    /// [`UnlimitedQuota`].
+    /// Creates a builder that uses [`LocalPrograms`] and [`UnlimitedQuota`] by default.
     pub fn new(settings: SchedulerSettings) -> SchedulerBuilder {
         SchedulerBuilder {
             settings,
@@ -42,42 +41,42 @@
         }
     }
 
-    /// Sets the program step.
+    /// Sets the component that decides about the calls of programs.
     pub fn programs(mut self, programs: Box<dyn ProgramAdmission>) -> SchedulerBuilder {
         self.programs = programs;
         self
     }
 
-    /// Sets the quota step.
+    /// Sets the component that enforces the rate limits of customers.
     pub fn quota(mut self, quota: Box<dyn QuotaAdmission>) -> SchedulerBuilder {
         self.quota = quota;
         self
     }
 
-    /// Builds a reducer without configuration.
+    /// Builds a scheduler. It refuses all calls until the first configuration arrives.
     pub fn build(self) -> Scheduler {
         let policies = &self.settings.policies;
         Scheduler {
             rng: SmallRng::seed_from_u64(self.settings.seed),
             configuration: None,
-            contact_at_ms: None,
-            withdrawn: HashSet::new(),
+            last_store_contact_at_ms: None,
+            withdrawn_keys: HashSet::new(),
             customers: Customers::default(),
             calls: SlotMap::with_key(),
             calls_by_id: HashMap::new(),
-            next_sequence: 0,
+            last_sequence: 0,
             endpoints: SlotMap::with_key(),
             endpoints_by_name: BTreeMap::new(),
-            leaving: BTreeSet::new(),
+            leaving_endpoints: BTreeSet::new(),
             groups: SlotMap::with_key(),
             groups_by_name: BTreeMap::new(),
             fleet: Fleet::new(1, 0),
-            retries: RetryBudget::new(policies.retry_percent),
-            program_cache: ProgramCache::default(),
-            releases: PendingReleases::default(),
-            order: policy::order(policies),
-            retention: policy::retention(policies),
-            admission: policy::admission(policies),
+            retry_budget: RetryBudget::new(policies.retry_percent),
+            program_table: ProgramTable::default(),
+            pending_releases: PendingReleases::default(),
+            order_policy: policy::order(policies),
+            retention_policy: policy::retention(policies),
+            admission_policy: policy::admission(policies),
             programs: self.programs,
             quota: self.quota,
             draining: false,
@@ -87,58 +86,61 @@
     }
 }
 
-/// All decisions of one instance as a function of events.
+/// The scheduler of one instance, a state machine driven by [`Event`]s.
 #[derive(Debug)]
 pub struct Scheduler {
     pub(crate) settings: SchedulerSettings,
     pub(crate) rng: SmallRng,
-    /// `None` until the first configuration was applied.
+    /// `None` until the first configuration arrives.
     pub(crate) configuration: Option<Arc<Configuration>>,
-    /// The newest store contact behind the configuration. Never decreases.
-    pub(crate) contact_at_ms: Option<u64>,
-    /// Keys that were ever withdrawn. Never shrinks, so that no configuration can make
-    /// such a key valid again.
-    pub(crate) withdrawn: HashSet<KeyHash>,
+    /// Time of the last known contact with the store, by this instance or a peer. Never
+    /// decreases.
+    pub(crate) last_store_contact_at_ms: Option<u64>,
+    /// All keys that were ever withdrawn. Never shrinks, so that no later configuration can
+    /// make such a key valid again.
+    pub(crate) withdrawn_keys: HashSet<KeyHash>,
     pub(crate) customers: Customers,
     pub(crate) calls: SlotMap<CallKey, Call>,
-    /// Holds exactly the calls of `calls`.
+    /// Index of `calls` by request id.
     pub(crate) calls_by_id: HashMap<RequestId, CallKey>,
-    pub(crate) next_sequence: u64,
+    /// Sequence number of the last call that arrived.
+    pub(crate) last_sequence: u64,
     pub(crate) endpoints: SlotMap<EndpointKey, EndpointRecord>,
     pub(crate) endpoints_by_name: BTreeMap<String, EndpointKey>,
-    /// Names of leaving endpoints, by the platform's list.
-    pub(crate) leaving: BTreeSet<String>,
+    /// Names of the endpoints that are about to be shut down, as announced by the platform.
+    /// May include endpoints that are not configured yet.
+    pub(crate) leaving_endpoints: BTreeSet<String>,
     pub(crate) groups: SlotMap<GroupKey, Group>,
     pub(crate) groups_by_name: BTreeMap<String, GroupKey>,
     pub(crate) fleet: Fleet,
-    pub(crate) retries: RetryBudget,
-    pub(crate) program_cache: ProgramCache,
-    pub(crate) releases: PendingReleases,
-    pub(crate) order: Box<dyn OrderPolicy>,
-    pub(crate) retention: Box<dyn RetentionPolicy>,
-    pub(crate) admission: Box<dyn AdmissionPolicy>,
+    pub(crate) retry_budget: RetryBudget,
+    pub(crate) program_table: ProgramTable,
+    pub(crate) pending_releases: PendingReleases,
+    pub(crate) order_policy: Box<dyn OrderPolicy>,
+    pub(crate) retention_policy: Box<dyn RetentionPolicy>,
+    pub(crate) admission_policy: Box<dyn AdmissionPolicy>,
     pub(crate) programs: Box<dyn ProgramAdmission>,
     pub(crate) quota: Box<dyn QuotaAdmission>,
     draining: bool,
-    /// Whether `DrainComplete` was reported since the last call.
+    /// Whether `DrainComplete` was already sent since the last call ended.
     drain_reported: bool,
 }
 
 impl Scheduler {
-    /// Applies one event at `now_ms`, in milliseconds of the monotonic clock, and returns
-    /// the effects to carry out in order.
+    /// Applies one event and returns the effects, to be carried out in order. `now_ms` is the
+    /// time of the event in milliseconds of the monotonic clock.
     ///
-    /// Each call that arrived ends in exactly one `Refuse` or `Reply`, or in a
-    /// `CallFinished` after a `Dispatch` or `Forward`. A call that was cancelled while it
-    /// ran is refused at once, but its slot stays taken until `CallFinished` or
-    /// `CallFailed` reports that the endpoint has stopped.
+    /// Each call ends with exactly one `Refuse` or `Reply` effect, or with a `CallFinished`
+    /// event after a `Dispatch` or `Forward` effect. A call that is cancelled while it runs
+    /// is refused at once, but its slot stays occupied until `CallFinished` or `CallFailed`
+    /// reports that the endpoint has stopped.
     pub fn apply(&mut self, now_ms: u64, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         let out = &mut effects;
         match event {
-            Event::CallArrived(arrived) => self.arrive(now_ms, *arrived, out),
+            Event::CallArrived(arrived) => self.handle_arrival(now_ms, *arrived, out),
             Event::CallSent { request_id } => self.mark_sent(now_ms, request_id),
-            Event::FirstToken { request_id } => self.mark_answered(request_id),
+            Event::FirstToken { request_id } => self.mark_response_started(request_id),
             Event::CallFinished { request_id, usage } => {
                 self.finish(now_ms, request_id, usage, out)
             }
@@ -155,7 +157,7 @@
             Event::DrainStarted => self.draining = true,
             Event::Tick => self.tick(now_ms, out),
             Event::KeyWithdrawn { key } => {
-                self.withdrawn.insert(key);
+                self.withdrawn_keys.insert(key);
                 self.cancel_withdrawn(now_ms, out);
             }
             Event::StoreContact { age_ms } => self.store_contact(now_ms, age_ms),
@@ -163,17 +165,17 @@
                 endpoint,
                 cache_tag,
                 released,
-            } => self.release_answered(&endpoint, &cache_tag, released),
+            } => self.record_release_answer(&endpoint, &cache_tag, released),
             Event::ModelsReported { endpoint, loaded } => {
-                // A report of each engine comes every second and seldom tells anything new;
-                // the dispatch below sorts all waiting calls.
+                // Every engine sends a report each second, which rarely contains a change.
+                // Skips the dispatch below in that case, since it sorts all waiting calls.
                 if !self.models_reported(now_ms, &endpoint, loaded, out) {
                     return effects;
                 }
             }
             event => self.apply_to_endpoints(now_ms, event),
         }
-        self.apply_decisions(now_ms, out);
+        self.apply_program_changes(now_ms, out);
         self.dispatch_waiting(now_ms, out);
         self.report_drain(out);
         effects
@@ -185,14 +187,14 @@
                 for endpoint in self.endpoints.values_mut() {
                     endpoint.leaving = names.contains(&endpoint.name);
                 }
-                self.leaving = names;
+                self.leaving_endpoints = names;
             }
             Event::FleetChanged {
                 live_instances,
                 position,
             } => {
                 self.fleet = Fleet::new(live_instances, position);
-                self.divide_slots();
+                self.update_guaranteed_slots();
             }
             Event::LoadReported { endpoint, report } => {
                 if let Some(endpoint) = self.endpoint_mut(&endpoint) {
@@ -210,8 +212,8 @@
 
     fn tick(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
         self.refuse_overdue(now_ms, out);
-        self.refuse_short(now_ms, out);
-        self.release_due(now_ms, out);
+        self.refuse_over_rate(now_ms, out);
+        self.request_due_releases(now_ms, out);
         for endpoint in self.endpoints.values_mut() {
             if !endpoint.is_removed() && endpoint.health.take_due_probe(now_ms) {
                 out.push(Effect::Probe {
@@ -223,8 +225,10 @@
     }
 
     fn store_contact(&mut self, now_ms: u64, age_ms: u64) {
-        let contact_at_ms = now_ms.saturating_sub(age_ms);
-        self.contact_at_ms = self.contact_at_ms.max(Some(contact_at_ms));
+        let last_store_contact_at_ms = now_ms.saturating_sub(age_ms);
+        self.last_store_contact_at_ms = self
+            .last_store_contact_at_ms
+            .max(Some(last_store_contact_at_ms));
     }
 
     fn report_drain(&mut self, out: &mut Vec<Effect>) {
@@ -240,28 +244,29 @@
         self.endpoints.get_mut(*key)
     }
 
-    /// Number of calls that have not ended.
+    /// Number of calls that have not ended, waiting or running.
     pub fn call_count(&self) -> usize {
         self.calls.len()
     }
 
-    /// Number of calls in the queues of the endpoint groups.
+    /// Number of calls that wait in the queues of endpoint groups. Excludes calls that wait
+    /// for their program.
     pub fn waiting_count(&self) -> usize {
         self.groups.values().map(|group| group.queue.len()).sum()
     }
 
-    /// The settings of the instance.
+    /// The settings that the scheduler was built with.
     pub fn settings(&self) -> &SchedulerSettings {
         &self.settings
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether a planned shutdown has begun.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 }
 
-/// Adds a refusal to the effects.
+/// Adds a `Refuse` effect.
 pub(crate) fn refuse(out: &mut Vec<Effect>, request_id: RequestId, refusal: Refusal) {
     out.push(Effect::Refuse {
         request_id,
--- a/crates/scheduler/src/settings.rs
+++ b/crates/scheduler/src/settings.rs
@@ -1,27 +1,27 @@
-//! Settings of the reducer.
+//! Settings of the scheduler, fixed at process start.
 
 use jayreel_model::Incarnation;
 
-/// Settings that do not change while the instance runs.
+/// Settings of one instance's scheduler.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SchedulerSettings {
-    /// This start of the instance. Holds the name of the instance.
+    /// Name of the instance and number of this process run.
     pub incarnation: Incarnation,
-    /// Availability zone of this instance.
+    /// Availability zone in which this instance runs.
     pub availability_zone: String,
-    /// Seed of all random choices.
+    /// Seed of the random generator for all random choices.
     pub seed: u64,
-    /// Age of the newest store contact behind the configuration at which all keys are
-    /// refused.
+    /// Offline grace period: all keys are refused once the last contact with the store is
+    /// older than this, since withdrawals of keys may have been missed.
     pub offline_grace_ms: u64,
-    /// How long a call waits for its customer's rate before it is refused.
+    /// Maximum time that a call waits for its customer's rate limit before it is refused.
     pub quota_wait_ms: u64,
-    /// The policies and their parameters.
+    /// Scheduling policies and their parameters.
     pub policies: PolicySettings,
 }
 
 impl SchedulerSettings {
-    /// Default settings for one start of an instance.
+    /// Default settings for one process run of an instance.
     pub fn new(
         incarnation: Incarnation,
         availability_zone: impl Into<String>,
@@ -38,35 +38,38 @@
     }
 }
 
-/// Which policies decide, and their parameters.
+/// Selection of the scheduling policies, and their parameters.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PolicySettings {
-    /// Which waiting call of a customer runs next.
+    /// Selects the next call among the waiting calls of a customer.
     pub order: OrderKind,
-    /// Which customer is served next.
+    /// Selects the next customer among those with waiting calls.
     pub fairness: FairnessKind,
-    /// Which endpoint runs a call.
+    /// Selects the endpoint of a call.
     pub placement: PlacementKind,
-    /// Whether cache is kept during a pause.
+    /// Decides how long an idle program's cache is kept at engines.
     pub retention: RetentionKind,
-    /// Which calls are refused on arrival.
+    /// Decides which calls are refused on arrival because of overload.
     pub admission: AdmissionKind,
-    /// Attained service of the lowest level of [`OrderKind::LeastAttainedService`], in
-    /// weighted tokens. Each further level is twice as large. Programs of one level run in
-    /// the order of their start, so a level should hold most programs: small levels let
-    /// long programs finish late.
+    /// Size of the lowest level of [`OrderKind::LeastAttainedService`], in weighted tokens
+    /// of attained service. Each further level is twice as large. Programs of one level run
+    /// in the order of their start. The lowest level should cover most programs, since
+    /// small levels delay the completion of long programs.
     pub order_quantum_tokens: u64,
-    /// A waiting call rises by one level each time it has waited this long.
+    /// Waiting time that moves a call one level closer to running, to prevent starvation.
     pub ageing_step_ms: u64,
-    /// Time that an engine needs for a prompt token that is not cached.
+    /// Time that an engine needs to process a prompt token that is not cached, in
+    /// microseconds.
     pub prefill_us_per_token: u64,
-    /// Gain in expected wait that justifies another availability zone.
+    /// Cost of using an endpoint in another availability zone, as expected waiting time.
     pub zone_cost_ms: u64,
-    /// Longest time that a call waits for a full endpoint that holds its prefix.
+    /// Maximum time that a call waits for a busy endpoint that has its prompt prefix
+    /// cached while another endpoint is free.
     pub affinity_hold_ms: u64,
-    /// Time of holding a program's cache that costs as much as computing it again.
+    /// Cost of recomputing a program's cache, as the time of keeping it that costs the
+    /// same.
     pub recompute_cost_ms: u64,
-    /// Repetitions allowed per hundred calls.
+    /// Number of retries allowed per hundred calls.
     pub retry_percent: u32,
 }
 
@@ -90,7 +93,8 @@
 }
 
 impl PolicySettings {
-    /// The first baseline: round robin, first come, first served.
+    /// Baseline for comparisons: round-robin placement, first come, first served, and no
+    /// fairness between customers.
     pub fn round_robin_baseline() -> PolicySettings {
         PolicySettings {
             order: OrderKind::FirstComeFirstServed,
@@ -102,7 +106,8 @@
         }
     }
 
-    /// The second baseline: fewest outstanding calls, first come, first served.
+    /// Baseline for comparisons: like [`PolicySettings::round_robin_baseline`], but with
+    /// the endpoint that has the fewest outstanding calls.
     pub fn fewest_outstanding_baseline() -> PolicySettings {
         PolicySettings {
             placement: PlacementKind::FewestOutstanding,
@@ -114,11 +119,12 @@
 /// Implementations of [`crate::policy::OrderPolicy`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderKind {
-    /// By arrival of the call (baseline).
+    /// Earliest arrival of the call first (baseline).
     FirstComeFirstServed,
-    /// By arrival of the program's first call.
+    /// Earliest arrival of the program's first call first.
     OldestProgram,
-    /// By attained service of the whole program, with class and ageing.
+    /// Least service received by the whole program first, adjusted by scheduling class and
+    /// waiting time.
     LeastAttainedService,
 }
 
@@ -127,35 +133,37 @@
 pub enum FairnessKind {
     /// All customers share one queue (baseline).
     None,
-    /// Start-time fair queueing in weighted tokens.
+    /// Start-time fair queueing, with costs in weighted tokens.
     StartTimeFairQueueing,
 }
 
 /// Implementations of [`crate::policy::PlacementPolicy`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PlacementKind {
-    /// Each endpoint in turn (baseline).
+    /// All endpoints in turn (baseline).
     RoundRobin,
-    /// Fewest outstanding calls of this instance (baseline).
+    /// The endpoint with the fewest running calls of this instance (baseline).
     FewestOutstanding,
-    /// Cached prefix against expected wait.
+    /// The endpoint with the lowest expected time to first token, from cached prompt
+    /// prefix, expected wait and availability zone.
     CacheAffinity,
 }
 
 /// Implementations of [`crate::policy::RetentionPolicy`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RetentionKind {
-    /// Keep until the program ends (baseline).
+    /// Keep the cache until the program ends (baseline).
     KeepUntilEnd,
-    /// Keep as long as the class's return times justify.
+    /// Keep the cache for the time with the lowest expected cost, from a histogram of the
+    /// pauses between calls in the program's class.
     ReturnHistogram,
 }
 
 /// Implementations of [`crate::policy::AdmissionPolicy`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AdmissionKind {
-    /// Refuse only calls that have waited for `max_wait_ms` (baseline).
+    /// Refuse no call on arrival, only after it has waited for `max_wait_ms` (baseline).
     WaitBound,
-    /// Also refuse calls on arrival that are expected to wait much longer.
+    /// Also refuse calls on arrival whose expected wait is far above `max_wait_ms`.
     ExpectedWait,
 }
--- a/crates/scheduler/src/wait.rs
+++ b/crates/scheduler/src/wait.rs
@@ -1,4 +1,4 @@
-//! Expected waits, and refusals of calls that waited too long.
+//! Estimates of waiting times, and refusal of calls that waited too long.
 
 use jayreel_model::{Refusal, RefusalReason};
 
@@ -8,14 +8,15 @@
 use crate::policy::CustomerId;
 use crate::scheduler::Scheduler;
 
-/// Shortest and longest `Retry-After`.
+/// Lower bound of the retry time that refusals tell the caller.
 const MIN_RETRY_AFTER_MS: u64 = 1_000;
+/// Upper bound of that time.
 const MAX_RETRY_AFTER_MS: u64 = 60_000;
 
 impl Scheduler {
-    /// Expected wait of a new call of the customer, from the observed service time, the
-    /// slots that this instance may use and the customer's share among the customers
-    /// with waiting calls. `None` if nothing was observed or no endpoint is active.
+    /// Expected wait of a new call of the customer. Computed from the mean service time, the
+    /// slots that this instance may use, and the customer's weight among all customers with
+    /// waiting calls. `None` if no call has completed yet or no endpoint is active.
     pub(crate) fn expected_wait_ms(
         &self,
         group: GroupKey,
@@ -34,12 +35,13 @@
             _ => {}
         }
         let weight = |flow| u64::from(self.customers.weight(flow).max(1));
-        let all: u64 = group.queue.flows().map(weight).sum();
-        let rounds = (ahead + 1).saturating_mul(all.max(weight(flow)));
-        Some(rounds.saturating_mul(service_ms) / weight(flow) / slots)
+        let total_weight: u64 = group.queue.flows().map(weight).sum();
+        let weighted_calls = (ahead + 1).saturating_mul(total_weight.max(weight(flow)));
+        Some(weighted_calls.saturating_mul(service_ms) / weight(flow) / slots)
     }
 
-    /// When a refused call of the customer may be repeated with hope.
+    /// Time after which a refused call of the customer may be retried: the expected wait,
+    /// within bounds.
     pub(crate) fn retry_after_ms(
         &self,
         group: GroupKey,
@@ -51,7 +53,7 @@
             .clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS)
     }
 
-    /// Refuses the calls that waited longer than their profile allows.
+    /// Refuses calls that have waited for longer than their profile allows.
     pub(crate) fn refuse_overdue(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
         let overdue: Vec<CallKey> = self
             .calls
@@ -61,7 +63,7 @@
             .map(|(key, _)| key)
             .collect();
         for key in overdue {
-            // The refusal of an earlier call may have ended this one as well.
+            // Refusing a previous call may have ended this one, too.
             if self.calls.contains_key(key) {
                 let refusal = self.overdue_refusal(key);
                 self.refuse_waiting(now_ms, key, refusal, out);
@@ -74,12 +76,12 @@
         match call.state {
             CallState::Waiting { group } => Refusal::not_run(
                 RefusalReason::Overloaded,
-                "no endpoint was free within the profile's waiting time",
+                "no endpoint became free within the profile's maximum waiting time",
             )
             .retry_after_ms(self.retry_after_ms(group, call.customer)),
             _ => Refusal::not_run(
                 RefusalReason::Overloaded,
-                "an earlier call of the program took longer than the waiting time",
+                "an earlier call of the program did not end within the profile's maximum waiting time",
             )
             .retry_after_ms(MIN_RETRY_AFTER_MS),
         }
--- a/crates/scheduler/tests/scheduler/main.rs
+++ b/crates/scheduler/tests/scheduler/main.rs
@@ -1,5 +1,6 @@
 //! Tests of the reducer and its policies, driven only through events.
 
+mod admission;
 mod cache;
 mod health;
 mod lifecycle;
@@ -9,5 +10,4 @@
 mod properties;
 mod sharing;
 mod simulation;
-mod steps;
 mod world;
