--- a/crates/scheduler/tests/scheduler/admission.rs
+++ b/crates/scheduler/tests/scheduler/admission.rs
@@ -1,4 +1,4 @@
-//! The program and quota steps of admission.
+//! Program admission and quota admission of calls.
 
 use std::sync::{Arc, Mutex};
 
@@ -8,36 +8,37 @@
 use jayreel_scheduler::{Effect, PolicySettings};
 use test_case::test_case;
 
-use crate::world::{
-    World, chat, configuration, dispatches, placed, profile_with, refused,
+use crate::harness::{
+    Harness, chat, configuration, dispatched_to, dispatches, profile_with, refused,
 };
 
 #[derive(Clone, Debug, Default)]
-struct QuotaLog {
+struct FakeQuotaState {
     taken: u64,
     sent: u64,
     given_back: u64,
-    /// Whether the customer's rate is used up.
-    short: bool,
-    /// Requests that are there even so.
-    trickle: u64,
+    /// Whether the customer's rate limit is exhausted.
+    exhausted: bool,
+    /// Number of requests that are still available while `exhausted` is set.
+    extra_requests: u64,
 }
 
+/// Quota admission with one bucket for all customers, controlled and inspected by the test.
 #[derive(Clone, Debug, Default)]
-struct LoggedQuota(Arc<Mutex<QuotaLog>>);
+struct FakeQuota(Arc<Mutex<FakeQuotaState>>);
 
-impl QuotaAdmission for LoggedQuota {
+impl QuotaAdmission for FakeQuota {
     fn configure(&mut self, _now_ms: u64, _configuration: &Configuration) {}
 
     fn take(&mut self, _now_ms: u64, _customer: &str) -> QuotaDecision {
-        let mut log = self.0.lock().unwrap();
-        if log.short && log.trickle == 0 {
+        let mut state = self.0.lock().unwrap();
+        if state.exhausted && state.extra_requests == 0 {
             return QuotaDecision::Exhausted {
                 retry_after_ms: 1_500,
             };
         }
-        log.trickle = log.trickle.saturating_sub(1);
-        log.taken += 1;
+        state.extra_requests = state.extra_requests.saturating_sub(1);
+        state.taken += 1;
         QuotaDecision::Taken
     }
 
@@ -50,66 +51,66 @@
     }
 }
 
-fn world(quota: &LoggedQuota) -> World {
+fn harness(quota: &FakeQuota) -> Harness {
     let configuration = configuration(&["a"], &[1]);
     let quota = Box::new(quota.clone());
-    World::with_quota(configuration, PolicySettings::default(), quota)
+    Harness::with_quota(configuration, PolicySettings::default(), quota)
 }
 
-/// Guards against bad input that costs rate, and against rate that is lost to calls that
-/// never ran or returned for calls that may have run (G8).
+/// Invalid requests must not consume quota. Quota must be given back for calls that did not
+/// run, and must not be given back for calls that may have run (G8).
 #[test]
 fn quota_is_charged_for_calls_that_may_have_run() {
-    let quota = LoggedQuota::default();
-    let mut world = world(&quota);
+    let quota = FakeQuota::default();
+    let mut harness = harness(&quota);
     let counts = || {
-        let log = quota.0.lock().unwrap();
-        (log.taken, log.given_back)
+        let state = quota.0.lock().unwrap();
+        (state.taken, state.given_back)
     };
     let unknown_profile = CallArrived {
         profile: Some("x".to_string()),
         ..chat(1, "a")
     };
-    world.arrive(unknown_profile);
+    harness.arrive(unknown_profile);
     assert_eq!(counts(), (0, 0));
-    world.arrive(chat(2, "a"));
-    world.arrive(chat(3, "a"));
+    harness.arrive(chat(2, "a"));
+    harness.arrive(chat(3, "a"));
     assert_eq!(
         counts(),
         (1, 0),
-        "call 3 waits for the endpoint without quota"
+        "call 3 waits for the endpoint and has taken no quota"
     );
-    world.gone(3);
-    assert_eq!(counts(), (1, 0), "call 3 never took any");
-    world.gone(2);
-    world.fail(2, Ran::Unknown, RefusalReason::CallerGone);
+    harness.caller_gone(3);
+    assert_eq!(counts(), (1, 0), "call 3 has taken no quota");
+    harness.caller_gone(2);
+    harness.fail(2, Ran::Unknown, RefusalReason::CallerGone);
     assert_eq!(counts(), (1, 0), "call 2 may have run");
-    world.arrive(chat(4, "a"));
-    world.fail(4, Ran::No, RefusalReason::NotReady);
+    harness.arrive(chat(4, "a"));
+    harness.fail(4, Ran::No, RefusalReason::NotReady);
     assert_eq!(counts(), (2, 1), "call 4 missed its dispatch deadline");
-    world.arrive(chat(5, "a"));
-    world.sent(5);
+    harness.arrive(chat(5, "a"));
+    harness.sent(5);
     assert_eq!(quota.0.lock().unwrap().sent, 1);
-    world.fail(5, Ran::Unknown, RefusalReason::CallerGone);
+    harness.fail(5, Ran::Unknown, RefusalReason::CallerGone);
     assert_eq!(counts(), (3, 1), "call 5 was sent");
 }
 
-/// Guards against calls that run without quota, and against refusals before the time that
-/// a call may wait for its customer's rate.
+/// Calls must not run without quota, and must not be refused before they have waited for
+/// quota for `quota_wait_ms`.
 #[test]
 fn call_waits_for_quota() {
-    let quota = LoggedQuota::default();
-    let mut world = world(&quota);
-    quota.0.lock().unwrap().short = true;
+    let quota = FakeQuota::default();
+    let mut harness = harness(&quota);
+    quota.0.lock().unwrap().exhausted = true;
     for id in 1..=3 {
-        assert_eq!(world.arrive(chat(id, "a")), []);
+        assert_eq!(harness.arrive(chat(id, "a")), []);
     }
-    world.gone(3);
-    assert_eq!(world.tick_after(700), [], "they may wait for 800 ms");
-    quota.0.lock().unwrap().short = false;
-    assert_eq!(placed(&world.tick_after(50)), [(1, "w0")]);
-    quota.0.lock().unwrap().short = true;
-    let effects = world.tick_after(50);
+    harness.caller_gone(3);
+    assert_eq!(harness.tick_after(700), [], "they may wait for 800 ms");
+    quota.0.lock().unwrap().exhausted = false;
+    assert_eq!(dispatched_to(&harness.tick_after(50)), [(1, "w0")]);
+    quota.0.lock().unwrap().exhausted = true;
+    let effects = harness.tick_after(50);
     assert_eq!(
         refused(&effects),
         [(2, RefusalReason::RateExceeded, Ran::No)]
@@ -121,85 +122,88 @@
     assert_eq!(quota.0.lock().unwrap().taken, 1);
 }
 
-/// Guards against 429 for calls that wait for an endpoint: their customer was short for a
-/// moment, but has had rate since.
+/// A call that waits for a free endpoint must not be refused with 429 only because its
+/// customer's quota was exhausted for a moment before and is available again.
 #[test_case(true; "the last request was taken")]
 #[test_case(false; "no endpoint was free since")]
-fn call_that_waits_for_an_endpoint_is_not_refused_for_rate(taken: bool) {
-    let quota = LoggedQuota::default();
-    let mut world = world(&quota);
+fn call_that_waits_for_an_endpoint_is_not_refused_for_its_rate(taken: bool) {
+    let quota = FakeQuota::default();
+    let mut harness = harness(&quota);
     let mut next = 1;
     if !taken {
-        assert_eq!(placed(&world.arrive(chat(next, "a"))), [(next, "w0")]);
+        assert_eq!(
+            dispatched_to(&harness.arrive(chat(next, "a"))),
+            [(next, "w0")]
+        );
         next += 1;
-        world.reconfigure(|configuration| {
+        harness.reconfigure(|configuration| {
             configuration.endpoints.get_mut("w0").unwrap().slots = 2;
         });
     }
-    quota.0.lock().unwrap().short = true;
-    world.arrive(chat(next, "a"));
-    world.arrive(chat(next + 1, "a"));
-    quota.0.lock().unwrap().short = false;
+    quota.0.lock().unwrap().exhausted = true;
+    harness.arrive(chat(next, "a"));
+    harness.arrive(chat(next + 1, "a"));
+    quota.0.lock().unwrap().exhausted = false;
     if taken {
-        assert_eq!(placed(&world.tick_after(50)), [(next, "w0")]);
+        assert_eq!(dispatched_to(&harness.tick_after(50)), [(next, "w0")]);
     } else {
-        world.reconfigure(|configuration| {
+        harness.reconfigure(|configuration| {
             configuration.endpoints.get_mut("w0").unwrap().slots = 1;
         });
     }
-    assert_eq!(world.tick_after(2_000), []);
-    let log = quota.0.lock().unwrap().clone();
-    assert_eq!(log.taken - log.given_back, 1, "one call runs");
-    // Short again: the time of the first shortage does not count.
-    quota.0.lock().unwrap().short = true;
-    assert_eq!(world.finish(1), []);
-    assert_eq!(world.tick_after(700), []);
-    assert!(!refused(&world.tick_after(100)).is_empty());
+    assert_eq!(harness.tick_after(2_000), []);
+    let state = quota.0.lock().unwrap().clone();
+    assert_eq!(state.taken - state.given_back, 1, "one call runs");
+    // The quota is exhausted again. The earlier wait for quota must not be counted.
+    quota.0.lock().unwrap().exhausted = true;
+    assert_eq!(harness.finish(1), []);
+    assert_eq!(harness.tick_after(700), []);
+    assert!(!refused(&harness.tick_after(100)).is_empty());
 }
 
-/// Guards against calls of a customer above its rate that wait long, because each of its
-/// requests would start their time again.
+/// The calls of a customer above its rate must be refused in time. They would wait too long
+/// if each request that gets through restarted the wait of the others.
 #[test]
 fn customer_above_its_rate_is_refused_in_time() {
-    let quota = LoggedQuota::default();
-    let mut world = world(&quota);
-    world.reconfigure(|configuration| {
+    let quota = FakeQuota::default();
+    let mut harness = harness(&quota);
+    harness.reconfigure(|configuration| {
         configuration.endpoints.get_mut("w0").unwrap().slots = 20;
     });
-    quota.0.lock().unwrap().short = true;
+    quota.0.lock().unwrap().exhausted = true;
     for id in 1..=15 {
-        world.arrive(chat(id, "a"));
+        harness.arrive(chat(id, "a"));
     }
     for _ in 0..7 {
-        quota.0.lock().unwrap().trickle = 1;
-        assert_eq!(placed(&world.tick_after(100)).len(), 1);
+        quota.0.lock().unwrap().extra_requests = 1;
+        assert_eq!(dispatched_to(&harness.tick_after(100)).len(), 1);
     }
-    assert_eq!(refused(&world.tick_after(100)).len(), 8);
+    assert_eq!(refused(&harness.tick_after(100)).len(), 8);
 }
 
-/// Guards against a repeated call that is refused for a shortage before its first attempt.
+/// A retried call must not be refused because of a wait for quota before its first attempt.
 #[test]
-fn shortage_before_an_attempt_does_not_count_after_it() {
-    let quota = LoggedQuota::default();
-    let mut world = world(&quota);
-    quota.0.lock().unwrap().short = true;
-    world.arrive(chat(1, "a"));
-    quota.0.lock().unwrap().short = false;
-    assert_eq!(placed(&world.tick_after(500)), [(1, "w0")]);
-    world.sent(1);
-    quota.0.lock().unwrap().short = true;
-    world.now_ms += 10_000;
+fn wait_for_quota_restarts_with_each_attempt() {
+    let quota = FakeQuota::default();
+    let mut harness = harness(&quota);
+    quota.0.lock().unwrap().exhausted = true;
+    harness.arrive(chat(1, "a"));
+    quota.0.lock().unwrap().exhausted = false;
+    assert_eq!(dispatched_to(&harness.tick_after(500)), [(1, "w0")]);
+    harness.sent(1);
+    quota.0.lock().unwrap().exhausted = true;
+    harness.now_ms += 10_000;
     assert_eq!(
-        world.fail(1, Ran::Unknown, RefusalReason::EndpointFailed),
+        harness.fail(1, Ran::Unknown, RefusalReason::EndpointFailed),
         []
     );
-    assert_eq!(world.tick_after(700), []);
-    let effects = world.tick_after(100);
+    assert_eq!(harness.tick_after(700), []);
+    let effects = harness.tick_after(100);
     let exceeded = RefusalReason::RateExceeded;
     assert_eq!(refused(&effects), [(1, exceeded, Ran::Unknown)]);
 }
 
-/// Guards against one customer without rate that holds up another with rate.
+/// A customer without quota must not block the calls of a customer with quota.
 #[test]
 fn customer_without_quota_does_not_block_others() {
     #[derive(Debug)]
@@ -217,62 +221,63 @@
     }
     let configuration = configuration(&["a", "b"], &[1]);
     let quota = Box::new(OnlyB);
-    let mut world = World::with_quota(configuration, PolicySettings::default(), quota);
-    assert_eq!(world.arrive(chat(1, "a")), []);
-    assert_eq!(placed(&world.arrive(chat(2, "b"))), [(2, "w0")]);
+    let mut harness =
+        Harness::with_quota(configuration, PolicySettings::default(), quota);
+    assert_eq!(harness.arrive(chat(1, "a")), []);
+    assert_eq!(dispatched_to(&harness.arrive(chat(2, "b"))), [(2, "w0")]);
 }
 
-/// Guards against calls of one program that run side by side (G1), also after one that
-/// was cancelled but still runs at its endpoint.
+/// Calls of one program must not run concurrently (G1), even if the earlier one was cancelled
+/// but is still running at its endpoint.
 #[test]
 fn calls_of_a_program_run_one_at_a_time() {
-    let mut world = World::simple(&[4]);
-    let token = world.open_program(1, None);
+    let mut harness = Harness::simple(&[4]);
+    let token = harness.open_program(1, None);
     let call = |id| CallArrived {
         program: Some(token.clone()),
         ..chat(id, "a")
     };
-    assert_eq!(placed(&world.arrive(call(2))).len(), 1);
-    assert_eq!(world.arrive(call(3)), []);
-    assert_eq!(world.arrive(call(4)), []);
-    assert_eq!(placed(&world.gone(2)), []);
-    let effects = world.fail(2, Ran::Unknown, RefusalReason::CallerGone);
-    assert_eq!(placed(&effects), [(3, "w0")]);
-    assert_eq!(placed(&world.finish(3)), [(4, "w0")]);
-    assert_eq!(dispatches(&world.finish(4)).len(), 0);
+    assert_eq!(dispatched_to(&harness.arrive(call(2))).len(), 1);
+    assert_eq!(harness.arrive(call(3)), []);
+    assert_eq!(harness.arrive(call(4)), []);
+    assert_eq!(dispatched_to(&harness.caller_gone(2)), []);
+    let effects = harness.fail(2, Ran::Unknown, RefusalReason::CallerGone);
+    assert_eq!(dispatched_to(&effects), [(3, "w0")]);
+    assert_eq!(dispatched_to(&harness.finish(3)), [(4, "w0")]);
+    assert_eq!(dispatches(&harness.finish(4)).len(), 0);
 }
 
-/// Guards against programs that lose their profile when it is retired.
+/// An open program must keep its profile when the profile is retired.
 #[test]
 fn open_program_outlives_the_retirement_of_its_profile() {
-    let mut world = World::simple(&[4]);
-    world.reconfigure(|configuration| {
+    let mut harness = Harness::simple(&[4]);
+    harness.reconfigure(|configuration| {
         let profile = profile_with(|profile| profile.max_call_tokens = 7);
         configuration
             .profiles
             .insert("default".to_string(), profile);
     });
-    let token = world.open_program(1, None);
-    world.reconfigure(|configuration| {
+    let token = harness.open_program(1, None);
+    harness.reconfigure(|configuration| {
         let profile = configuration.profiles.get_mut("default").unwrap();
         profile.retired = true;
     });
-    let effects = world.arrive(CallArrived {
+    let effects = harness.arrive(CallArrived {
         program: Some(token),
         ..chat(2, "a")
     });
     assert_eq!(dispatches(&effects)[0].max_tokens, Some(7));
-    let effects = world.arrive(chat(3, "a"));
+    let effects = harness.arrive(chat(3, "a"));
     assert_eq!(refused(&effects), [(3, RefusalReason::NotAllowed, Ran::No)]);
 }
 
-/// Guards against one customer that uses another's program (G2, G5).
+/// A customer must not be able to use another customer's program (G2, G5).
 #[test]
 fn program_of_another_customer_is_not_found() {
     let configuration = configuration(&["a", "b"], &[1]);
-    let mut world = World::new(configuration, PolicySettings::default());
-    let token = world.open_program(1, None);
-    let effects = world.arrive(CallArrived {
+    let mut harness = Harness::new(configuration, PolicySettings::default());
+    let token = harness.open_program(1, None);
+    let effects = harness.arrive(CallArrived {
         program: Some(token),
         ..chat(2, "b")
     });
--- a/crates/scheduler/tests/scheduler/world.rs
+++ b/crates/scheduler/tests/scheduler/harness.rs
@@ -1,4 +1,5 @@
-//! A reducer with a small configuration, and short ways to send it events.
+//! Test harness: a scheduler with a small configuration, helpers that send it events, and
+//! helpers that extract effects.
 
 use std::sync::Arc;
 
@@ -15,8 +16,8 @@
 };
 
 pub const MODEL: &str = "m";
-pub const OWN_ZONE: &str = "hobart-a";
-pub const OTHER_ZONE: &str = "glenorchy-b";
+pub const LOCAL_ZONE: &str = "hobart-a";
+pub const REMOTE_ZONE: &str = "glenorchy-b";
 
 pub fn key(customer: &str) -> KeyHash {
     KeyHash::of_key(&format!("key of {customer}"))
@@ -26,7 +27,7 @@
     Endpoint {
         kind: EndpointKind::ModelEngine,
         group: group.to_string(),
-        availability_zone: OWN_ZONE.to_string(),
+        availability_zone: LOCAL_ZONE.to_string(),
         address: "127.0.0.1:1".to_string(),
         models: Vec::new(),
         versions: Default::default(),
@@ -37,6 +38,7 @@
     }
 }
 
+/// A model engine that serves [`MODEL`].
 pub fn worker(slots: u32) -> Endpoint {
     Endpoint {
         models: vec![MODEL.to_string()],
@@ -53,7 +55,8 @@
     }
 }
 
-/// Customers of weight 1 and workers `w0`, `w1`, ... with the given slots.
+/// A configuration with customers of weight 1 and one model engine for each entry of
+/// `worker_slots`, named `w0`, `w1` and so on.
 pub fn configuration(customers: &[&str], worker_slots: &[u32]) -> Configuration {
     let mut configuration = Configuration {
         revision: 1,
@@ -112,47 +115,47 @@
     }
 }
 
-/// A reducer and its clock.
-pub struct World {
+/// A scheduler with its configuration and clock. Each event advances the clock by 1 ms.
+pub struct Harness {
     pub scheduler: Scheduler,
     pub configuration: Configuration,
     pub now_ms: u64,
 }
 
-impl World {
-    pub fn new(configuration: Configuration, policies: PolicySettings) -> World {
+impl Harness {
+    pub fn new(configuration: Configuration, policies: PolicySettings) -> Harness {
         let quota = Box::new(UnlimitedQuota);
-        World::with_quota(configuration, policies, quota)
+        Harness::with_quota(configuration, policies, quota)
     }
 
     pub fn with_quota(
         configuration: Configuration,
         policies: PolicySettings,
         quota: Box<dyn QuotaAdmission>,
-    ) -> World {
+    ) -> Harness {
         let incarnation = Incarnation {
             instance: "i1".to_string(),
             number: 1,
         };
-        let mut settings = SchedulerSettings::new(incarnation, OWN_ZONE, 7);
+        let mut settings = SchedulerSettings::new(incarnation, LOCAL_ZONE, 7);
         settings.policies = policies;
         let scheduler = SchedulerBuilder::new(settings)
             .programs(Box::<LocalPrograms>::default())
             .quota(quota)
             .build();
-        let mut world = World {
+        let mut harness = Harness {
             scheduler,
             configuration,
             now_ms: 0,
         };
-        world.reconfigure(|_| {});
-        world
+        harness.reconfigure(|_| {});
+        harness
     }
 
-    /// One customer `a` and the default policies.
-    pub fn simple(worker_slots: &[u32]) -> World {
+    /// A harness with the customer `a` and the default policies.
+    pub fn simple(worker_slots: &[u32]) -> Harness {
         let configuration = configuration(&["a"], worker_slots);
-        World::new(configuration, PolicySettings::default())
+        Harness::new(configuration, PolicySettings::default())
     }
 
     pub fn apply(&mut self, event: Event) -> Vec<Effect> {
@@ -202,16 +205,18 @@
         })
     }
 
-    pub fn gone(&mut self, id: u64) -> Vec<Effect> {
+    pub fn caller_gone(&mut self, id: u64) -> Vec<Effect> {
         let request_id = RequestId(id);
         self.apply(Event::CallerGone { request_id })
     }
 
+    /// Advances the clock by `ms` and sends a tick.
     pub fn tick_after(&mut self, ms: u64) -> Vec<Effect> {
         self.now_ms += ms;
         self.apply(Event::Tick)
     }
 
+    /// Sends a load report of an endpoint that has no waiting calls.
     pub fn report(&mut self, endpoint: &str, running: u32, age_ms: u64) -> Vec<Effect> {
         self.apply(Event::LoadReported {
             endpoint: endpoint.to_string(),
@@ -223,6 +228,7 @@
         })
     }
 
+    /// Opens a program for customer `a` and returns its token.
     pub fn open_program(&mut self, id: u64, parent: Option<&str>) -> String {
         let effects = self.arrive(CallArrived {
             parent: parent.map(str::to_string),
@@ -266,15 +272,15 @@
     dispatches.collect()
 }
 
-/// Ids of dispatched calls with the endpoints.
-pub fn placed(effects: &[Effect]) -> Vec<(u64, &str)> {
+/// Ids of the dispatched calls, with the names of their endpoints.
+pub fn dispatched_to(effects: &[Effect]) -> Vec<(u64, &str)> {
     let dispatches = dispatches(effects).into_iter();
     dispatches
         .map(|dispatch| (dispatch.request_id.0, dispatch.endpoint.as_str()))
         .collect()
 }
 
-/// Ids of refused calls with the refusals.
+/// Ids of the refused calls, with their refusals.
 pub fn refusals(effects: &[Effect]) -> Vec<(u64, &Refusal)> {
     let refusals = effects.iter().filter_map(|effect| match effect {
         Effect::Refuse {
@@ -286,6 +292,7 @@
     refusals.collect()
 }
 
+/// Ids of the refused calls, with reason and whether they may have run.
 pub fn refused(effects: &[Effect]) -> Vec<(u64, RefusalReason, Ran)> {
     let refusals = refusals(effects).into_iter();
     refusals
--- a/crates/scheduler/tests/scheduler/main.rs
+++ b/crates/scheduler/tests/scheduler/main.rs
@@ -1,7 +1,10 @@
-//! Tests of the reducer and its policies, driven only through events.
+//! Tests of the scheduler and its policies, mostly through events and effects.
+//!
+//! Labels such as G10 name the guarantees in `docs/GUARANTEES.md`.
 
 mod admission;
 mod cache;
+mod harness;
 mod health;
 mod lifecycle;
 mod models;
@@ -10,4 +13,3 @@
 mod properties;
 mod sharing;
 mod simulation;
-mod world;
--- a/crates/scheduler/tests/scheduler/placement.rs
+++ b/crates/scheduler/tests/scheduler/placement.rs
@@ -7,9 +7,9 @@
 use jayreel_scheduler::settings::PlacementKind;
 use test_case::test_case;
 
-use crate::world::{MODEL, OTHER_ZONE, World, chat, configuration, placed};
+use crate::harness::{Harness, MODEL, REMOTE_ZONE, chat, configuration, dispatched_to};
 
-/// A call of 40,000 bytes whose messages have the given hashes.
+/// A call with a prompt of 40,000 bytes, about 10,000 tokens, with these prefix hashes.
 fn conversation(id: u64, prefix_hashes: &[u64]) -> CallArrived {
     conversation_of(id, prefix_hashes, 40_000)
 }
@@ -26,189 +26,198 @@
     }
 }
 
-fn world(placement: PlacementKind, worker_slots: &[u32]) -> World {
+fn harness(placement: PlacementKind, worker_slots: &[u32]) -> Harness {
     let policies = PolicySettings {
         placement,
         ..PolicySettings::default()
     };
-    World::new(configuration(&["a"], worker_slots), policies)
+    Harness::new(configuration(&["a"], worker_slots), policies)
 }
 
-fn arrive(world: &mut World, call: CallArrived) -> String {
-    let effects = world.arrive(call);
-    assert_eq!(placed(&effects).len(), 1, "{effects:?}");
-    placed(&effects)[0].1.to_string()
+fn arrive(harness: &mut Harness, call: CallArrived) -> String {
+    let effects = harness.arrive(call);
+    assert_eq!(dispatched_to(&effects).len(), 1, "{effects:?}");
+    dispatched_to(&effects)[0].1.to_string()
 }
 
-/// Teaches the reducer that calls take about a second.
-fn teach_service_time(world: &mut World) {
-    arrive(world, chat(1_000, "a"));
-    world.now_ms += 1_000;
-    world.finish(1_000);
+/// Completes one call in about a second, so that the mean service time is known.
+fn observe_service_time(harness: &mut Harness) {
+    arrive(harness, chat(1_000, "a"));
+    harness.now_ms += 1_000;
+    harness.finish(1_000);
 }
 
-/// Guards against cached prefixes that are computed again elsewhere.
+/// The next turn of a conversation must go to the endpoint that has its prefix cached,
+/// instead of being recomputed elsewhere.
 #[test]
-fn conversation_returns_to_its_cache() {
-    let mut world = world(PlacementKind::CacheAffinity, &[4; 8]);
-    let first = arrive(&mut world, conversation(1, &[10, 11]));
-    world.finish(1);
+fn conversation_returns_to_endpoint_with_cached_prefix() {
+    let mut harness = harness(PlacementKind::CacheAffinity, &[4; 8]);
+    let first = arrive(&mut harness, conversation(1, &[10, 11]));
+    harness.finish(1);
     for id in 2..10 {
-        arrive(&mut world, conversation(100 + id, &[id * 50]));
+        arrive(&mut harness, conversation(100 + id, &[id * 50]));
         let turn = conversation(id, &[10, 11, 12, 12 + id]);
-        assert_eq!(arrive(&mut world, turn), first);
-        world.finish(id);
+        assert_eq!(arrive(&mut harness, turn), first);
+        harness.finish(id);
     }
 }
 
-/// Guards against a cached prefix that outweighs any wait, and against a call that waits
-/// for its cache longer than computing it again would take.
+/// A call must go to another endpoint if waiting for the one with its cached prefix takes
+/// longer than recomputing the prefix.
 #[test]
 fn affinity_yields_to_a_long_wait() {
-    let mut world = world(PlacementKind::CacheAffinity, &[1, 1]);
-    teach_service_time(&mut world);
-    let first = arrive(&mut world, conversation(1, &[10]));
-    world.now_ms += 10;
-    let effects = world.arrive(conversation(2, &[10, 11]));
-    let other = placed(&effects);
+    let mut harness = harness(PlacementKind::CacheAffinity, &[1, 1]);
+    observe_service_time(&mut harness);
+    let first = arrive(&mut harness, conversation(1, &[10]));
+    harness.now_ms += 10;
+    let effects = harness.arrive(conversation(2, &[10, 11]));
+    let other = dispatched_to(&effects);
     assert_ne!(other[0].1, first, "1 s of wait against 0.5 s of prefill");
 }
 
-/// Guards against a call that is sent elsewhere although its cache is free soon, and
-/// against holding it without bound.
+/// A call must wait for the endpoint with its cached prefix if a slot there is free soon, but
+/// not beyond the configured maximum.
 #[test]
-fn call_is_held_for_its_cache_only_for_a_time() {
-    let mut world = world(PlacementKind::CacheAffinity, &[4, 4]);
-    teach_service_time(&mut world);
-    let first = arrive(&mut world, conversation(1, &[10]));
+fn call_waits_for_cached_prefix_for_limited_time() {
+    let mut harness = harness(PlacementKind::CacheAffinity, &[4, 4]);
+    observe_service_time(&mut harness);
+    let first = arrive(&mut harness, conversation(1, &[10]));
     for id in 2..=4 {
-        assert_eq!(arrive(&mut world, conversation(id, &[10])), first);
+        assert_eq!(arrive(&mut harness, conversation(id, &[10])), first);
     }
-    let held = conversation(5, &[10]);
-    assert_eq!(world.arrive(held), [], "a slot is free in about 0.25 s");
-    let effects = world.tick_after(2_000);
-    assert_ne!(placed(&effects)[0].1, first);
-}
-
-/// Sends a prompt of 8,000 bytes and waits for its answer. Returns where it ran.
-fn cache_prompt(world: &mut World, id: u64, prefix_hashes: &[u64]) -> String {
-    let endpoint = arrive(world, conversation_of(id, prefix_hashes, 8_000));
-    world.finish(id);
+    let waiting = conversation(5, &[10]);
+    assert_eq!(
+        harness.arrive(waiting),
+        [],
+        "a slot is free in about 0.25 s"
+    );
+    let effects = harness.tick_after(2_000);
+    assert_ne!(dispatched_to(&effects)[0].1, first);
+}
+
+/// Runs a call with a prompt of 8,000 bytes and returns its endpoint.
+fn run_prompt(harness: &mut Harness, id: u64, prefix_hashes: &[u64]) -> String {
+    let endpoint = arrive(harness, conversation_of(id, prefix_hashes, 8_000));
+    harness.finish(id);
     endpoint
 }
 
-/// Guards against messages that are taken to be equally long: a long first message would
-/// count as a tenth of this prompt, which is not worth its endpoint's load.
+/// The length of a prefix that was a whole prompt before must be used exactly. If all ten
+/// messages were assumed to have the same length, the long first message would count as a
+/// tenth of the prompt, too little to outweigh the load of its endpoint.
 #[test]
-fn known_length_of_a_prefix_counts() {
-    let mut world = world(PlacementKind::CacheAffinity, &[4, 4]);
-    teach_service_time(&mut world);
-    let first = cache_prompt(&mut world, 1, &[10]);
-    world.report(&first, 2, 0);
+fn exact_prefix_length_replaces_estimate() {
+    let mut harness = harness(PlacementKind::CacheAffinity, &[4, 4]);
+    observe_service_time(&mut harness);
+    let first = run_prompt(&mut harness, 1, &[10]);
+    harness.report(&first, 2, 0);
     let hashes: Vec<u64> = (10..20).collect();
     let turn = conversation_of(2, &hashes, 8_800);
-    assert_eq!(arrive(&mut world, turn), first);
+    assert_eq!(arrive(&mut harness, turn), first);
 }
 
-/// Guards against computing a prefix again on the last free slots, which other calls need,
-/// and against waiting for a cache while there are many free slots.
+/// A cached prefix must not be recomputed on the last free slot, which other calls need. With
+/// many free slots, a call must be recomputed elsewhere rather than wait.
 #[test_case(0, 1; "many free slots")]
 #[test_case(3, 0; "one free slot")]
-fn contention_makes_a_recomputation_dearer(running: u32, placements: usize) {
-    let mut world = world(PlacementKind::CacheAffinity, &[4, 4]);
-    teach_service_time(&mut world);
-    let first = cache_prompt(&mut world, 1, &[10]);
+fn contention_raises_cost_of_recomputation(running: u32, placements: usize) {
+    let mut harness = harness(PlacementKind::CacheAffinity, &[4, 4]);
+    observe_service_time(&mut harness);
+    let first = run_prompt(&mut harness, 1, &[10]);
     let other = ["w0", "w1"].into_iter().find(|name| *name != first);
-    world.report(&first, 4, 0);
-    world.report(other.unwrap(), running, 0);
-    let effects = world.arrive(conversation_of(2, &[10], 8_000));
-    assert_eq!(placed(&effects).len(), placements, "{effects:?}");
+    harness.report(&first, 4, 0);
+    harness.report(other.unwrap(), running, 0);
+    let effects = harness.arrive(conversation_of(2, &[10], 8_000));
+    assert_eq!(dispatched_to(&effects).len(), placements, "{effects:?}");
 }
 
-/// Guards against work for another zone while the own one has room, and against an own
-/// zone that is preferred at any wait.
+/// Endpoints in the instance's own availability zone must be preferred, but only until they
+/// are so busy that another zone is faster.
 #[test]
-fn own_zone_comes_first_and_spills() {
-    let mut world = world(PlacementKind::CacheAffinity, &[4, 4]);
-    world.reconfigure(|configuration| {
+fn local_zone_is_preferred_until_it_is_busy() {
+    let mut harness = harness(PlacementKind::CacheAffinity, &[4, 4]);
+    harness.reconfigure(|configuration| {
         let worker = configuration.endpoints.get_mut("w0").unwrap();
-        worker.availability_zone = OTHER_ZONE.to_string();
+        worker.availability_zone = REMOTE_ZONE.to_string();
     });
-    teach_service_time(&mut world);
-    assert_eq!(arrive(&mut world, chat(1, "a")), "w1");
+    observe_service_time(&mut harness);
+    assert_eq!(arrive(&mut harness, chat(1, "a")), "w1");
     let next: Vec<String> = (2..=4)
-        .map(|id| arrive(&mut world, chat(id, "a")))
+        .map(|id| arrive(&mut harness, chat(id, "a")))
         .collect();
     assert!(next.contains(&"w0".to_string()), "w1 is busy: {next:?}");
 }
 
-/// Guards against a herd: calls that all follow the same load report to one endpoint.
+/// Calls must be spread over endpoints of similar cost. Otherwise all calls that use the same
+/// load report go to the same endpoint.
 #[test]
-fn near_best_endpoints_share_the_calls() {
-    let mut world = world(PlacementKind::CacheAffinity, &[64; 8]);
+fn calls_spread_over_near_best_endpoints() {
+    let mut harness = harness(PlacementKind::CacheAffinity, &[64; 8]);
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for id in 1..=64 {
-        *counts.entry(arrive(&mut world, chat(id, "a"))).or_default() += 1;
+        *counts
+            .entry(arrive(&mut harness, chat(id, "a")))
+            .or_default() += 1;
     }
     assert_eq!(counts.len(), 8);
     assert!(counts.values().all(|count| *count <= 20), "{counts:?}");
 }
 
-/// Guards against load reports that are trusted although they lag: calls sent since the
-/// report count, calls known to the report do not count twice.
+/// A delayed load report must be corrected by the calls of this instance: calls sent after
+/// the measurement must be added, and calls contained in the report must not count twice.
 #[test]
 fn lagging_report_is_corrected_by_own_calls() {
-    let mut world = world(PlacementKind::CacheAffinity, &[8, 8]);
-    teach_service_time(&mut world);
+    let mut harness = harness(PlacementKind::CacheAffinity, &[8, 8]);
+    observe_service_time(&mut harness);
     for id in 1..=6 {
-        arrive(&mut world, chat(id, "a"));
+        arrive(&mut harness, chat(id, "a"));
     }
-    world.now_ms += 500;
-    let on_w0 = |world: &mut World, id| arrive(world, chat(id, "a")) == "w0";
-    // Both endpoints run three of these calls, and w1 runs three of another instance.
-    world.report("w0", 3, 100);
-    world.report("w1", 6, 100);
-    let before: Vec<bool> = (7..=9).map(|id| on_w0(&mut world, id)).collect();
+    harness.now_ms += 500;
+    let on_w0 = |harness: &mut Harness, id| arrive(harness, chat(id, "a")) == "w0";
+    // Both endpoints run three of these calls. w1 also runs three of another instance.
+    harness.report("w0", 3, 100);
+    harness.report("w1", 6, 100);
+    let before: Vec<bool> = (7..=9).map(|id| on_w0(&mut harness, id)).collect();
     assert_eq!(before, [true; 3], "w1 has the load of another instance");
-    // The same state, seen before the three calls were sent to w0.
-    world.report("w0", 3, 200);
-    let after: Vec<bool> = (10..=13).map(|id| on_w0(&mut world, id)).collect();
+    // The same load, but measured before the last three calls were sent to w0.
+    harness.report("w0", 3, 200);
+    let after: Vec<bool> = (10..=13).map(|id| on_w0(&mut harness, id)).collect();
     assert!(after.contains(&false), "w0 is no longer the better one");
 }
 
-/// Guards against baselines that do not spread calls.
+/// The baselines must spread calls evenly.
 #[test_case(PlacementKind::RoundRobin)]
 #[test_case(PlacementKind::FewestOutstanding)]
 fn baselines_spread_calls(placement: PlacementKind) {
-    let mut world = world(placement, &[8; 4]);
+    let mut harness = harness(placement, &[8; 4]);
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for id in 1..=16 {
         let call = conversation(id, &[10]);
-        *counts.entry(arrive(&mut world, call)).or_default() += 1;
+        *counts.entry(arrive(&mut harness, call)).or_default() += 1;
     }
     assert_eq!(counts.into_values().collect::<Vec<_>>(), [4; 4]);
 }
 
-/// Guards against a cache view that survives the endpoint's process.
+/// When an endpoint's process is replaced, its recorded cache contents must be dropped.
 #[test]
 fn replaced_endpoint_has_no_cache() {
-    let mut world = world(PlacementKind::CacheAffinity, &[8, 8]);
-    let turn = |world: &mut World, conversation_id: u64, turn: u64| {
+    let mut harness = harness(PlacementKind::CacheAffinity, &[8, 8]);
+    let turn = |harness: &mut Harness, conversation_id: u64, turn: u64| {
         let first = conversation_id * 100;
         let prefix_hashes: Vec<u64> = (first..=first + turn).collect();
         let id = first + turn;
-        let endpoint = arrive(world, conversation(id, &prefix_hashes));
-        world.finish(id);
+        let endpoint = arrive(harness, conversation(id, &prefix_hashes));
+        harness.finish(id);
         endpoint
     };
-    let first: Vec<String> = (1..40).map(|id| turn(&mut world, id, 1)).collect();
-    let second: Vec<String> = (1..40).map(|id| turn(&mut world, id, 2)).collect();
+    let first: Vec<String> = (1..40).map(|id| turn(&mut harness, id, 1)).collect();
+    let second: Vec<String> = (1..40).map(|id| turn(&mut harness, id, 2)).collect();
     assert_eq!(first, second, "the cache is in use");
-    world.reconfigure(|configuration| {
+    harness.reconfigure(|configuration| {
         let replaced = configuration.endpoints.get_mut("w0").unwrap();
         replaced.address = "127.0.0.1:2".to_string();
     });
-    let third: Vec<String> = (1..40).map(|id| turn(&mut world, id, 3)).collect();
+    let third: Vec<String> = (1..40).map(|id| turn(&mut harness, id, 3)).collect();
     let moved = |from: &str| {
         let turns = second.iter().zip(&third);
         turns
--- a/crates/scheduler/tests/scheduler/properties.rs
+++ b/crates/scheduler/tests/scheduler/properties.rs
@@ -1,4 +1,4 @@
-//! Properties that hold under random events, with any policies.
+//! Property tests: random sequences of events, checked against a reference model.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,7 @@
 use proptest::test_runner::{RngAlgorithm, RngSeed, TestRunner};
 use test_case::test_case;
 
-use crate::world::{World, chat, configuration, endpoint, key, route, service};
+use crate::harness::{Harness, chat, configuration, endpoint, key, route, service};
 
 const CUSTOMERS: [&str; 3] = ["a", "b", "c"];
 const ENDPOINTS: [&str; 5] = ["w0", "w1", "w2", "s0", "s1"];
@@ -19,18 +19,19 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
-    /// Arrived, or failed and repeated.
+    /// Arrived, or waiting for a retry.
     Waiting,
     Dispatched,
     Sent,
-    Answered,
-    /// Refused while the endpoint still works.
+    ResponseStarted,
+    /// Refused while the endpoint may still be working.
     Cancelled,
     Ended,
 }
 
+/// State of one call in the reference model.
 #[derive(Clone, Debug)]
-struct Shadow {
+struct TrackedCall {
     call: CallArrived,
     phase: Phase,
     endpoint: Option<String>,
@@ -42,20 +43,21 @@
     outcomes: u32,
 }
 
-/// What the test knows about the calls from events and effects alone.
-struct Model {
-    world: World,
-    calls: BTreeMap<u64, Shadow>,
+/// Reference model: the state of all calls as derived from events and effects alone.
+struct ReferenceModel {
+    harness: Harness,
+    calls: BTreeMap<u64, TrackedCall>,
     withdrawn: BTreeSet<&'static str>,
     leaving: BTreeSet<String>,
     token: String,
     next_id: u64,
 }
 
-type Step = (u8, u16, u16);
+/// A random operation: kind, and two parameters whose meaning depends on the kind.
+type Operation = (u8, u16, u16);
 
-impl Model {
-    fn new(policies: PolicySettings) -> Model {
+impl ReferenceModel {
+    fn new(policies: PolicySettings) -> ReferenceModel {
         let mut configuration = configuration(&CUSTOMERS, &[1, 2, 3]);
         for name in ["s0", "s1"] {
             let mut plain = endpoint("records-office", 2);
@@ -66,10 +68,10 @@
         routes.insert("file".to_string(), route("/file", false, false));
         routes.insert("read".to_string(), route("/read", true, false));
         routes.insert("open".to_string(), route("/open", false, true));
-        let mut world = World::new(configuration, policies);
-        let token = world.open_program(PROGRAM, None);
-        Model {
-            world,
+        let mut harness = Harness::new(configuration, policies);
+        let token = harness.open_program(PROGRAM, None);
+        ReferenceModel {
+            harness,
             calls: BTreeMap::new(),
             withdrawn: BTreeSet::new(),
             leaving: BTreeSet::new(),
@@ -78,25 +80,25 @@
         }
     }
 
-    fn run(&mut self, steps: Vec<Step>) {
-        for step in steps {
-            self.step(step);
+    fn run(&mut self, operations: Vec<Operation>) {
+        for operation in operations {
+            self.execute(operation);
         }
-        self.wind_down();
+        self.run_to_completion();
     }
 
-    fn step(&mut self, (kind, a, b): Step) {
+    fn execute(&mut self, (kind, a, b): Operation) {
         let customer = CUSTOMERS[usize::from(a) % CUSTOMERS.len()];
         let endpoint = ENDPOINTS[usize::from(a) % ENDPOINTS.len()].to_string();
         match kind {
             0..=49 => self.arrive(customer, b),
             50..=59 => self.advance(a, Phase::Dispatched, Phase::Sent),
-            60..=67 => self.advance(a, Phase::Sent, Phase::Answered),
+            60..=67 => self.advance(a, Phase::Sent, Phase::ResponseStarted),
             68..=89 => self.finish(a, b),
             90..=101 => self.fail(a, b),
-            102..=109 => self.gone(a),
+            102..=109 => self.caller_gone(a),
             110..=119 => {
-                self.world.now_ms += u64::from(b) % 20_000;
+                self.harness.now_ms += u64::from(b) % 20_000;
                 self.apply(Event::Tick, None);
             }
             120..=123 => self.set_state(&endpoint, b),
@@ -118,7 +120,7 @@
             4 | 5 => (self.program_call(id, customer), true),
             _ => (chat(id, customer), true),
         };
-        let shadow = Shadow {
+        let tracked = TrackedCall {
             open: kind % 8 == 2,
             in_program: call.program.is_some(),
             call: call.clone(),
@@ -128,7 +130,7 @@
             repeatable,
             outcomes: 0,
         };
-        self.calls.insert(id, shadow);
+        self.calls.insert(id, tracked);
         self.apply(Event::CallArrived(Box::new(call)), None);
     }
 
@@ -139,11 +141,12 @@
         }
     }
 
+    /// Picks the call with index `a`, modulo their number, among those in one of the phases.
     fn select(&self, a: u16, phases: &[Phase]) -> Option<u64> {
         let matching: Vec<u64> = self
             .calls
             .iter()
-            .filter(|(_, shadow)| phases.contains(&shadow.phase))
+            .filter(|(_, tracked)| phases.contains(&tracked.phase))
             .map(|(id, _)| *id)
             .collect();
         let index = usize::from(a).checked_rem(matching.len())?;
@@ -154,9 +157,9 @@
         let Some(id) = self.select(a, &[from]) else {
             return;
         };
-        let shadow = self.calls.get_mut(&id).unwrap();
-        shadow.phase = to;
-        shadow.ever_sent = true;
+        let tracked = self.calls.get_mut(&id).unwrap();
+        tracked.phase = to;
+        tracked.ever_sent = true;
         let request_id = RequestId(id);
         let event = match to {
             Phase::Sent => Event::CallSent { request_id },
@@ -166,15 +169,15 @@
     }
 
     fn finish(&mut self, a: u16, b: u16) {
-        let phases = [Phase::Sent, Phase::Answered, Phase::Cancelled];
+        let phases = [Phase::Sent, Phase::ResponseStarted, Phase::Cancelled];
         let Some(id) = self.select(a, &phases) else {
             return;
         };
-        let shadow = self.calls.get_mut(&id).unwrap();
-        if shadow.phase != Phase::Cancelled {
-            shadow.outcomes += 1;
+        let tracked = self.calls.get_mut(&id).unwrap();
+        if tracked.phase != Phase::Cancelled {
+            tracked.outcomes += 1;
         }
-        shadow.phase = Phase::Ended;
+        tracked.phase = Phase::Ended;
         let usage = TokenUsage {
             prompt_tokens: u64::from(b),
             cached_tokens: u64::from(b / 2),
@@ -191,7 +194,7 @@
         let phases = [
             Phase::Dispatched,
             Phase::Sent,
-            Phase::Answered,
+            Phase::ResponseStarted,
             Phase::Cancelled,
         ];
         let Some(id) = self.select(a, &phases) else {
@@ -207,10 +210,10 @@
             1 => RefusalReason::EndpointTimeout,
             _ => RefusalReason::NotReady,
         };
-        let shadow = self.calls.get_mut(&id).unwrap();
-        shadow.ever_sent |= ran != Ran::No;
-        if shadow.phase == Phase::Cancelled {
-            shadow.phase = Phase::Ended;
+        let tracked = self.calls.get_mut(&id).unwrap();
+        tracked.ever_sent |= ran != Ran::No;
+        if tracked.phase == Phase::Cancelled {
+            tracked.phase = Phase::Ended;
         }
         let event = Event::CallFailed {
             request_id: RequestId(id),
@@ -221,12 +224,12 @@
         self.apply(event, Some(id));
     }
 
-    fn gone(&mut self, a: u16) {
+    fn caller_gone(&mut self, a: u16) {
         let phases = [
             Phase::Waiting,
             Phase::Dispatched,
             Phase::Sent,
-            Phase::Answered,
+            Phase::ResponseStarted,
         ];
         if let Some(id) = self.select(a, &phases) {
             let request_id = RequestId(id);
@@ -244,8 +247,8 @@
             1 => EndpointState::Removed,
             _ => EndpointState::Active,
         };
-        self.world.configuration.revision += 1;
-        let endpoints = &mut self.world.configuration.endpoints;
+        self.harness.configuration.revision += 1;
+        let endpoints = &mut self.harness.configuration.endpoints;
         endpoints.get_mut(endpoint).unwrap().state = state;
         self.send_configuration();
     }
@@ -256,15 +259,15 @@
             let key = key(customer);
             self.apply(Event::KeyWithdrawn { key }, None);
         } else {
-            self.world.configuration.revision += 1;
-            let keys = &mut self.world.configuration.keys;
+            self.harness.configuration.revision += 1;
+            let keys = &mut self.harness.configuration.keys;
             keys.get_mut(&key(customer)).unwrap().withdrawn = true;
             self.send_configuration();
         }
-        for (id, shadow) in &self.calls {
-            let affected = shadow.call.key == Some(key(customer)) && !shadow.open;
+        for (id, tracked) in &self.calls {
+            let affected = tracked.call.key == Some(key(customer)) && !tracked.open;
             assert!(
-                !affected || shadow.outcomes == 1,
+                !affected || tracked.outcomes == 1,
                 "call {id} outlives its key"
             );
         }
@@ -277,7 +280,7 @@
     }
 
     fn send_configuration(&mut self) {
-        let configuration = self.world.configuration.clone();
+        let configuration = self.harness.configuration.clone();
         self.apply(Event::ConfigurationChanged(configuration.into()), None);
     }
 
@@ -315,7 +318,7 @@
     /// Applies an event and checks its effects. `failed` is the call that the event
     /// reports as failed.
     fn apply(&mut self, event: Event, failed: Option<u64>) {
-        let effects = self.world.apply(event);
+        let effects = self.harness.apply(event);
         if let Some(id) = failed {
             self.end_attempt(id, &effects);
         }
@@ -335,79 +338,85 @@
         }
     }
 
-    /// Frees the slot of a failed call. Without refusal it waits again.
+    /// Records that an attempt failed. A call that is not refused waits for a retry.
     fn end_attempt(&mut self, id: u64, effects: &[Effect]) {
         let refusal = |effect: &Effect| match effect {
             Effect::Refuse { request_id, .. } => request_id.0 == id,
             _ => false,
         };
-        let shadow = self.calls.get_mut(&id).unwrap();
-        shadow.endpoint = None;
-        if shadow.phase == Phase::Ended || effects.iter().any(refusal) {
+        let tracked = self.calls.get_mut(&id).unwrap();
+        tracked.endpoint = None;
+        if tracked.phase == Phase::Ended || effects.iter().any(refusal) {
             return;
         }
         assert!(
-            shadow.phase != Phase::Answered,
-            "answered call {id} repeated"
+            tracked.phase != Phase::ResponseStarted,
+            "call {id} is retried after its response has started"
         );
         assert!(
-            shadow.repeatable || !shadow.ever_sent,
-            "call {id} may run twice"
+            tracked.repeatable || !tracked.ever_sent,
+            "non-repeatable call {id} may run twice"
         );
-        shadow.phase = Phase::Waiting;
+        tracked.phase = Phase::Waiting;
     }
 
     fn check_dispatch(&mut self, dispatch: &Dispatch) {
         let id = dispatch.request_id.0;
         let name = &dispatch.endpoint;
         let in_flight = self.in_flight(name);
-        let endpoint = &self.world.configuration.endpoints[name];
-        let shadow = &self.calls[&id];
-        assert_eq!(shadow.phase, Phase::Waiting, "call {id} dispatched");
+        let endpoint = &self.harness.configuration.endpoints[name];
+        let tracked = &self.calls[&id];
+        assert_eq!(tracked.phase, Phase::Waiting, "call {id} is dispatched");
         assert_eq!(endpoint.state, EndpointState::Active, "call {id} to {name}");
-        assert!(!self.leaving.contains(name), "call {id} to leaving {name}");
+        assert!(
+            !self.leaving.contains(name),
+            "call {id} to {name}, which is being shut down"
+        );
         assert!(in_flight < endpoint.slots, "{name} has no free slot");
-        let serves = match &shadow.call.operation {
+        let serves = match &tracked.call.operation {
             CallOperation::Chat { model, .. } => endpoint.models.contains(model),
             _ => endpoint.group == "records-office",
         };
         assert!(serves, "call {id} to {name}, which does not serve it");
-        let owner = |customer: &&str| shadow.call.key == Some(key(customer));
+        let owner = |customer: &&str| tracked.call.key == Some(key(customer));
         let withdrawn = self.withdrawn.iter().any(owner);
-        assert!(shadow.open || !withdrawn, "call {id} of a withdrawn key");
-        let program_busy = shadow.in_program
+        assert!(tracked.open || !withdrawn, "call {id} of a withdrawn key");
+        let program_busy = tracked.in_program
             && self.calls.values().any(|other| {
                 other.in_program && !matches!(other.phase, Phase::Waiting | Phase::Ended)
             });
-        assert!(!program_busy, "call {id} overtakes a call of its program");
-        let shadow = self.calls.get_mut(&id).unwrap();
-        shadow.phase = Phase::Dispatched;
-        shadow.endpoint = Some(name.clone());
+        assert!(
+            !program_busy,
+            "call {id} runs concurrently with a call of its program"
+        );
+        let tracked = self.calls.get_mut(&id).unwrap();
+        tracked.phase = Phase::Dispatched;
+        tracked.endpoint = Some(name.clone());
     }
 
     fn in_flight(&self, name: &str) -> u32 {
-        let here = |shadow: &&Shadow| {
-            shadow.endpoint.as_deref() == Some(name)
-                && !matches!(shadow.phase, Phase::Waiting | Phase::Ended)
+        let here = |tracked: &&TrackedCall| {
+            tracked.endpoint.as_deref() == Some(name)
+                && !matches!(tracked.phase, Phase::Waiting | Phase::Ended)
         };
         self.calls.values().filter(here).count() as u32
     }
 
     fn check_refusal(&mut self, id: u64, ran: Ran, failed: Option<u64>) {
-        let shadow = self.calls.get_mut(&id).unwrap();
-        shadow.outcomes += 1;
-        assert_eq!(shadow.outcomes, 1, "call {id} has a second outcome");
-        let may_have_run = match shadow.phase {
-            Phase::Dispatched if failed == Some(id) => shadow.ever_sent,
-            Phase::Waiting => shadow.ever_sent,
+        let tracked = self.calls.get_mut(&id).unwrap();
+        tracked.outcomes += 1;
+        assert_eq!(tracked.outcomes, 1, "call {id} has a second outcome");
+        let may_have_run = match tracked.phase {
+            Phase::Dispatched if failed == Some(id) => tracked.ever_sent,
+            Phase::Waiting => tracked.ever_sent,
             _ => true,
         };
         assert!(
             ran != Ran::No || !may_have_run,
             "call {id} in {:?} refused as not run",
-            shadow.phase
+            tracked.phase
         );
-        shadow.phase = match shadow.phase {
+        tracked.phase = match tracked.phase {
             Phase::Waiting => Phase::Ended,
             _ if failed == Some(id) => Phase::Ended,
             _ => Phase::Cancelled,
@@ -416,30 +425,30 @@
 
     fn check_cancel(&self, id: u64) {
         let phase = self.calls[&id].phase;
-        let running = [Phase::Dispatched, Phase::Sent, Phase::Answered];
+        let running = [Phase::Dispatched, Phase::Sent, Phase::ResponseStarted];
         assert!(running.contains(&phase), "call {id} cancelled in {phase:?}");
     }
 
-    /// Ends everything and checks that each call had one outcome.
-    fn wind_down(&mut self) {
+    /// Lets all calls end, and checks that each call has exactly one outcome.
+    fn run_to_completion(&mut self) {
         self.apply(Event::DrainStarted, None);
         for _ in 0..200 {
             self.advance(0, Phase::Dispatched, Phase::Sent);
             self.finish(0, 1);
-            self.world.now_ms += 1_000;
+            self.harness.now_ms += 1_000;
             self.apply(Event::Tick, None);
         }
-        while self.world.scheduler.call_count() > 0 {
-            let before = self.world.scheduler.call_count();
+        while self.harness.scheduler.call_count() > 0 {
+            let before = self.harness.scheduler.call_count();
             self.advance(0, Phase::Dispatched, Phase::Sent);
             self.finish(0, 1);
             assert!(
-                self.world.scheduler.call_count() < before,
+                self.harness.scheduler.call_count() < before,
                 "a call is stuck"
             );
         }
-        for (id, shadow) in &self.calls {
-            assert_eq!(shadow.outcomes, 1, "outcomes of call {id}: {shadow:?}");
+        for (id, tracked) in &self.calls {
+            assert_eq!(tracked.outcomes, 1, "outcomes of call {id}: {tracked:?}");
         }
     }
 }
@@ -454,18 +463,19 @@
     }
 }
 
-/// Guards against: calls without outcome or with two, false 'not run' (G10), repeated
-/// non-repeatable calls (G11), calls of one program side by side (G1), calls to endpoints
-/// that drain, leave, are gone or full (G12), dispatch of cancelled calls, and calls that
-/// outlive their key (G7) or caller.
+/// Each call must have exactly one outcome. No call must be refused as not run after it was
+/// sent (G10), retried after it was sent unless it is repeatable (G11), run concurrently with
+/// a call of its program (G1), be dispatched after its cancellation, be sent to an endpoint
+/// that is draining, announced for shutdown, removed or full (G12), or continue after its key
+/// was withdrawn (G7) or its caller has disconnected.
 #[test_case(PolicySettings::default(), 1; "default policies")]
 #[test_case(PolicySettings::round_robin_baseline(), 2; "round robin")]
 #[test_case(PolicySettings::fewest_outstanding_baseline(), 3; "fewest outstanding")]
-fn calls_end_once_and_truthfully(policies: PolicySettings, seed: u64) {
-    let steps = vec((0_u8..=135, any::<u16>(), any::<u16>()), 1..250);
+fn calls_end_once_with_correct_outcome(policies: PolicySettings, seed: u64) {
+    let operations = vec((0_u8..=135, any::<u16>(), any::<u16>()), 1..250);
     let mut runner = TestRunner::new(config(400, seed));
-    let result = runner.run(&steps, |steps| {
-        Model::new(policies.clone()).run(steps);
+    let result = runner.run(&operations, |operations| {
+        ReferenceModel::new(policies.clone()).run(operations);
         Ok(())
     });
     if let Err(error) = result {
@@ -473,16 +483,16 @@
     }
 }
 
-/// Guards against slots that stay free while a call waits that could use them, for
-/// policies that do not hold calls for a cached prefix.
+/// No slot must stay free while a call waits that could use it. Holds only for policies that
+/// do not make calls wait for a cached prefix.
 #[test_case(PolicySettings::round_robin_baseline(), 4; "round robin")]
-#[test_case(PolicySettings { affinity_hold_ms: 0, ..PolicySettings::default() }, 5; "default policies without hold")]
+#[test_case(PolicySettings { affinity_hold_ms: 0, ..PolicySettings::default() }, 5; "default policies without waiting for cached prefixes")]
 fn no_slot_stays_free_while_calls_wait(policies: PolicySettings, seed: u64) {
-    let steps = vec((0_u8..=2, any::<u16>(), 0_u16..3), 1..200);
+    let operations = vec((0_u8..=2, any::<u16>(), 0_u16..3), 1..200);
     let mut runner = TestRunner::new(config(200, seed));
-    let result = runner.run(&steps, |steps| {
-        let mut model = Model::new(policies.clone());
-        for (kind, a, b) in steps {
+    let result = runner.run(&operations, |operations| {
+        let mut model = ReferenceModel::new(policies.clone());
+        for (kind, a, b) in operations {
             match kind {
                 0 | 1 => model.arrive(CUSTOMERS[usize::from(b)], 6),
                 _ => {
@@ -491,7 +501,7 @@
                 }
             }
             let waiting = model.select(0, &[Phase::Waiting]).is_some();
-            let endpoints = &model.world.configuration.endpoints;
+            let endpoints = &model.harness.configuration.endpoints;
             let free = ["w0", "w1", "w2"]
                 .iter()
                 .any(|name| model.in_flight(name) < endpoints[*name].slots);
--- a/crates/scheduler/tests/scheduler/sharing.rs
+++ b/crates/scheduler/tests/scheduler/sharing.rs
@@ -1,4 +1,4 @@
-//! Shares of customers and instances, and early refusals.
+//! Fairness between customers, division of slots between instances, and refusals on arrival.
 
 use std::collections::BTreeMap;
 
@@ -10,12 +10,15 @@
 use slotmap::SlotMap;
 use test_case::test_case;
 
+use crate::harness::{
+    Harness, MODEL, add_customer, chat, configuration, dispatched_to, refusals,
+};
 use crate::simulation::Simulation;
-use crate::world::{MODEL, World, add_customer, chat, configuration, placed, refusals};
 
-fn long_wait(world: &mut World) {
-    world.reconfigure(|configuration| {
-        let profile = crate::world::profile_with(|p| p.max_wait_ms = 10_000_000);
+/// Raises the maximum waiting time, so that no call is refused for waiting too long.
+fn allow_long_waits(harness: &mut Harness) {
+    harness.reconfigure(|configuration| {
+        let profile = crate::harness::profile_with(|p| p.max_wait_ms = 10_000_000);
         configuration
             .profiles
             .insert("default".to_string(), profile);
@@ -42,10 +45,11 @@
     }
 }
 
-/// Serves `rounds` calls on one slot while each customer always has ten waiting calls.
-/// `generated` gives the tokens of each customer's calls. Returns the calls served.
+/// Serves `rounds` calls on one slot while each customer always has about ten waiting calls.
+/// `generated` lists the customers with the number of tokens that each of their calls
+/// generates. Returns the number of served calls by customer.
 fn serve(
-    world: &mut World,
+    harness: &mut Harness,
     generated: &[(&'static str, u64)],
     rounds: usize,
 ) -> BTreeMap<&'static str, u64> {
@@ -53,16 +57,19 @@
     let mut served = BTreeMap::new();
     let mut running = None;
     let mut next_id = 1;
-    let mut arrive = |world: &mut World, customer: (&'static str, u64)| {
+    let mut arrive = |harness: &mut Harness, customer: (&'static str, u64)| {
         owner.insert(next_id, customer);
-        let effects = world.arrive(chat(next_id, customer.0));
+        let effects = harness.arrive(chat(next_id, customer.0));
         next_id += 1;
-        (placed(&effects).first().map(|call| call.0), owner.clone())
+        (
+            dispatched_to(&effects).first().map(|call| call.0),
+            owner.clone(),
+        )
     };
     let mut owners = BTreeMap::new();
     for _ in 0..10 {
         for customer in generated {
-            let (dispatched, known) = arrive(world, *customer);
+            let (dispatched, known) = arrive(harness, *customer);
             running = running.or(dispatched);
             owners = known;
         }
@@ -71,59 +78,63 @@
         let id = running.expect("a call runs");
         let customer = owners[&id];
         *served.entry(customer.0).or_default() += 1;
-        let (_, known) = arrive(world, customer);
+        let (_, known) = arrive(harness, customer);
         owners = known;
-        running = placed(&world.finish_with(id, Some(usage(customer.1))))
+        running = dispatched_to(&harness.finish_with(id, Some(usage(customer.1))))
             .first()
             .map(|call| call.0);
     }
     served
 }
 
-/// Guards against a customer whose share depends on how much another one sends.
+/// The share of a customer must not depend on how many calls another customer sends. Without
+/// fairness, the flood takes all capacity.
 #[test_case(FairnessKind::StartTimeFairQueueing, 400; "fair queueing")]
-#[test_case(FairnessKind::None, 0; "the baseline shows the flood")]
-fn flood_does_not_move_another_customers_share(fairness: FairnessKind, at_least: u32) {
+#[test_case(FairnessKind::None, 0; "baseline without fairness")]
+fn flood_does_not_change_share_of_another_customer(
+    fairness: FairnessKind,
+    expected: u32,
+) {
     let mut configuration = configuration(&["steady", "flood"], &[1]);
     configuration.revision = 1;
     let policies = PolicySettings {
         fairness,
         ..PolicySettings::round_robin_baseline()
     };
-    let mut world = World::new(configuration, policies);
-    long_wait(&mut world);
-    world.arrive(chat(1, "flood"));
+    let mut harness = Harness::new(configuration, policies);
+    allow_long_waits(&mut harness);
+    harness.arrive(chat(1, "flood"));
     for id in 2..=2_000 {
-        world.arrive(chat(id, "flood"));
+        harness.arrive(chat(id, "flood"));
     }
-    // The steady customer has two waiting calls at any time.
-    world.arrive(chat(10_000, "steady"));
+    // The steady customer always has two waiting calls.
+    harness.arrive(chat(10_000, "steady"));
     let mut running = 1;
     let mut served = 0;
     for steady in 10_001..10_801 {
-        world.arrive(chat(steady, "steady"));
-        running = placed(&world.finish_with(running, Some(usage(100))))[0].0;
+        harness.arrive(chat(steady, "steady"));
+        running = dispatched_to(&harness.finish_with(running, Some(usage(100))))[0].0;
         served += u32::from(running >= 10_000);
     }
     match fairness {
         FairnessKind::None => assert_eq!(served, 0),
-        _ => assert!((at_least - 5..=at_least + 5).contains(&served), "{served}"),
+        _ => assert!((expected - 5..=expected + 5).contains(&served), "{served}"),
     }
 }
 
-/// Guards against weights without effect, and against customers with long answers that
-/// get more service for the same weight.
+/// Service, measured in weighted tokens, must be proportional to the customers' weights.
+/// Customers with long answers must not get more service for the same weight.
 #[test]
 fn service_follows_weights_in_tokens() {
     let mut configuration = configuration(&[], &[1]);
     for (name, weight) in [("one", 1), ("three", 3), ("long", 1)] {
         add_customer(&mut configuration, name, weight);
     }
-    let mut world = World::new(configuration, PolicySettings::default());
-    long_wait(&mut world);
+    let mut harness = Harness::new(configuration, PolicySettings::default());
+    allow_long_waits(&mut harness);
     // A call of "long" costs 5,000 weighted tokens, the others cost 1,400.
     let generated = [("one", 100), ("three", 100), ("long", 1_000)];
-    let served = serve(&mut world, &generated, 1_000);
+    let served = serve(&mut harness, &generated, 1_000);
     let service = |name: &str, cost: u64| served[name] * cost;
     let one = service("one", 1_400);
     let within = |value: u64, expected: u64| {
@@ -133,41 +144,41 @@
     assert!(within(service("long", 5_000), one), "{served:?}");
 }
 
-/// Guards against idle customers that save up service and then shut out the others.
+/// An idle customer must not accumulate credit and then block the others.
 #[test]
-fn idle_customer_builds_up_no_credit() {
+fn idle_customer_accumulates_no_credit() {
     let configuration = configuration(&["busy", "idle"], &[1]);
-    let mut world = World::new(configuration, PolicySettings::default());
-    long_wait(&mut world);
-    serve(&mut world, &[("busy", 100)], 200);
+    let mut harness = Harness::new(configuration, PolicySettings::default());
+    allow_long_waits(&mut harness);
+    serve(&mut harness, &[("busy", 100)], 200);
     for id in 5_000..5_100 {
-        world.arrive(chat(id, "idle"));
+        harness.arrive(chat(id, "idle"));
     }
     let mut running = 201;
     let mut from_idle = 0;
     for _ in 0..20 {
-        running = placed(&world.finish_with(running, Some(usage(100))))[0].0;
+        running = dispatched_to(&harness.finish_with(running, Some(usage(100))))[0].0;
         from_idle += u32::from(running >= 5_000);
-        world.arrive(chat(20_000 + u64::from(from_idle) + world.now_ms, "busy"));
+        harness.arrive(chat(20_000 + u64::from(from_idle) + harness.now_ms, "busy"));
     }
     assert!((9..=11).contains(&from_idle), "{from_idle} of 20");
 }
 
-/// Guards against customers whose held calls lose their place: after other customers'
-/// calls went first, a customer that is behind its share was only as near to its turn as
-/// those that are ahead of theirs.
+/// A customer whose calls are held back by the placement policy must keep its start tag while
+/// calls of other customers are dispatched. Otherwise its tag rises with theirs, and it loses
+/// its advantage over customers that already got more than their share.
 #[test]
-fn held_customer_keeps_its_place() {
+fn customer_with_held_calls_keeps_its_tag() {
     let mut customers: SlotMap<CustomerId, ()> = SlotMap::with_key();
     let [held, flood, other] = [(); 3].map(|()| customers.insert(()));
     let mut fairness = StartTimeFairQueueing::default();
-    // The other customer has run ahead of its share.
+    // This customer has already got more than its share.
     fairness.charge(other, 1, 20_000, 0);
     let place = fairness.tag(held);
     for _ in 0..10 {
         fairness.charge(flood, 1, 1_000, place);
     }
-    // The calls of the flood are held as well.
+    // Now the calls of `flood` are held back as well.
     fairness.charge(other, 1, 1_000, place);
     assert_eq!(fairness.tag(held), place);
     assert!(fairness.tag(held) < fairness.tag(flood));
@@ -182,18 +193,18 @@
     );
 }
 
-/// Guards against refusals of one customer because of another's waiting calls, and
-/// against waiting calls that have no chance to run in time.
+/// Calls that cannot run in time must be refused on arrival, but only those of the customer
+/// that has the backlog.
 #[test]
 fn only_the_customer_with_the_backlog_is_refused_early() {
     let configuration = configuration(&["steady", "flood"], &[1]);
-    let mut world = World::new(configuration, PolicySettings::default());
-    world.arrive(chat(1, "flood"));
-    world.now_ms += 2_000;
-    world.finish(1);
+    let mut harness = Harness::new(configuration, PolicySettings::default());
+    harness.arrive(chat(1, "flood"));
+    harness.now_ms += 2_000;
+    harness.finish(1);
     let mut refused_at = None;
     for id in 2..200 {
-        let effects = world.arrive(chat(id, "flood"));
+        let effects = harness.arrive(chat(id, "flood"));
         if let Some((_, refusal)) = refusals(&effects).first() {
             assert_eq!(refusal.reason, RefusalReason::Overloaded);
             assert!(refusal.retry_after_ms >= Some(20_000), "{refusal:?}");
@@ -202,24 +213,23 @@
     }
     let refused_at = refused_at.expect("60 s of work are waiting");
     assert!((20..=40).contains(&refused_at), "{refused_at}");
-    assert_eq!(world.arrive(chat(1_000, "steady")), []);
+    assert_eq!(harness.arrive(chat(1_000, "steady")), []);
 }
 
-/// Guards against refusals of single long calls while slots are free.
+/// A call must not be refused on arrival while a slot is free, however long calls take.
 #[test]
 fn long_service_time_refuses_no_call_that_can_run_at_once() {
-    let mut world = World::simple(&[1]);
+    let mut harness = Harness::simple(&[1]);
     for id in 1..5 {
-        assert_eq!(placed(&world.arrive(chat(id, "a"))).len(), 1);
-        world.now_ms += 200_000;
-        world.finish(id);
+        assert_eq!(dispatched_to(&harness.arrive(chat(id, "a"))).len(), 1);
+        harness.now_ms += 200_000;
+        harness.finish(id);
     }
 }
 
-/// Guards against instances that leave the slots of idle ones unused, and against
-/// overload of the engines by instances that do not talk to each other.
+/// A busy instance must use the slots of idle instances, without overloading the engines.
 #[test]
-fn lone_busy_instance_borrows_the_slots_of_idle_ones() {
+fn busy_instance_borrows_slots_of_idle_instances() {
     let mut simulation = Simulation::new(4, &[4; 4]);
     simulation.run(10_000, |instance| match instance {
         0 => 40,
@@ -230,9 +240,9 @@
     assert!(simulation.most_waiting <= 4, "{}", simulation.most_waiting);
 }
 
-/// Guards against instances that starve because others borrowed their slots first.
+/// An instance must get its guaranteed slots even if another instance borrowed them before.
 #[test]
-fn late_instance_gets_its_part() {
+fn instance_gets_guaranteed_slots_back_from_borrowers() {
     let mut simulation = Simulation::new(4, &[4; 4]);
     simulation.run(5_000, |instance| match instance {
         0 => 40,
@@ -251,12 +261,13 @@
     assert!(simulation.most_waiting <= 8, "{}", simulation.most_waiting);
 }
 
-/// Guards against instances that move borrowed slots between endpoints: each sent its
-/// next calls to the few that reports showed as free, so calls waited in some engines,
-/// outside the order of customers, while slots of others were idle.
+/// Instances must not move borrowed slots between endpoints. When they did, each instance
+/// sent its next calls to the few endpoints that reports showed as free. Calls then waited in
+/// some engines, where fairness between customers does not apply, while other engines had
+/// free slots.
 #[test_case(&[40; 6]; "all instances are busy")]
 #[test_case(&[40, 0, 40, 1, 8, 2]; "some instances are busy")]
-fn calls_wait_in_the_instances(targets: &[u64]) {
+fn calls_queue_in_instances_not_in_engines(targets: &[u64]) {
     let mut simulation = Simulation::new(6, &[4; 8]);
     simulation.run(5_000, |instance| targets[instance]);
     simulation.reset_counts();
@@ -267,56 +278,59 @@
     assert!(busy >= 90, "slots in use: {busy}%");
 }
 
-/// Guards against parts of a model's endpoints that leave an instance without any slot
-/// for the model.
+/// Every instance must have at least one guaranteed slot for each model.
 #[test]
 fn each_instance_has_a_slot_for_each_model() {
     for position in 0..6 {
-        let mut world = World::simple(&[4, 2]);
-        world.reconfigure(|configuration| {
+        let mut harness = Harness::simple(&[4, 2]);
+        harness.reconfigure(|configuration| {
             let worker = configuration.endpoints.get_mut("w1").unwrap();
             worker.models = vec!["other".to_string()];
         });
-        world.apply(jayreel_scheduler::Event::FleetChanged {
+        harness.apply(jayreel_scheduler::Event::FleetChanged {
             live_instances: 6,
             position,
         });
-        let effects = world.arrive(chat_for(1, "other"));
-        assert_eq!(placed(&effects), [(1, "w1")], "instance {position}");
+        let effects = harness.arrive(chat_for(1, "other"));
+        assert_eq!(dispatched_to(&effects), [(1, "w1")], "instance {position}");
     }
 }
 
-/// Guards against parts of a group that are lost or used twice when the slots cannot be
-/// divided evenly, and against instances without any slot.
+/// The guaranteed slots of all instances must add up to the slots of the endpoints, also if
+/// these cannot be divided evenly, and no instance must be without a slot.
 #[test_case(7, &[4; 8], 32; "more slots than instances")]
 #[test_case(7, &[1, 1, 1], 7; "fewer slots than instances")]
-fn parts_sum_to_the_slots(instances: u32, worker_slots: &[u32], sum: usize) {
+fn guaranteed_slots_add_up_to_all_slots(
+    instances: u32,
+    worker_slots: &[u32],
+    sum: usize,
+) {
     let mut used = 0;
     for position in 0..instances {
-        let mut world = World::simple(worker_slots);
-        world.apply(jayreel_scheduler::Event::FleetChanged {
+        let mut harness = Harness::simple(worker_slots);
+        harness.apply(jayreel_scheduler::Event::FleetChanged {
             live_instances: instances,
             position,
         });
         used += (1..=40)
-            .map(|id| placed(&world.arrive(chat(id, "a"))).len())
+            .map(|id| dispatched_to(&harness.arrive(chat(id, "a"))).len())
             .sum::<usize>();
     }
     assert_eq!(used, sum);
 }
 
-/// Guards against calls for one model that are blocked behind calls for another one.
+/// Waiting calls for a busy model must not block calls for another model.
 #[test]
 fn full_model_does_not_block_another() {
-    let mut world = World::simple(&[1, 1]);
-    world.reconfigure(|configuration| {
+    let mut harness = Harness::simple(&[1, 1]);
+    harness.reconfigure(|configuration| {
         let worker = configuration.endpoints.get_mut("w1").unwrap();
         worker.models = vec!["other".to_string()];
     });
     for id in 1..=100 {
-        world.arrive(chat(id, "a"));
+        harness.arrive(chat(id, "a"));
     }
-    let effects = world.arrive(chat_for(101, "other"));
-    assert_eq!(placed(&effects), [(101, "w1")]);
+    let effects = harness.arrive(chat_for(101, "other"));
+    assert_eq!(dispatched_to(&effects), [(101, "w1")]);
     assert_ne!(MODEL, "other");
 }
--- a/crates/scheduler/tests/scheduler/simulation.rs
+++ b/crates/scheduler/tests/scheduler/simulation.rs
@@ -1,4 +1,4 @@
-//! Several reducers that share engines, in virtual time.
+//! Simulation of several instances that share engines, in virtual time.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,14 +6,14 @@
 use jayreel_scheduler::event::LoadReport;
 use jayreel_scheduler::{Effect, Event, Scheduler, SchedulerBuilder, SchedulerSettings};
 
-use crate::world::{OWN_ZONE, chat, configuration, profile_with};
+use crate::harness::{LOCAL_ZONE, chat, configuration, profile_with};
 
 const STEP_MS: u64 = 10;
 const SERVICE_MS: u64 = 400;
 const REPORT_INTERVAL_MS: u64 = 100;
 const REPORT_LAG_MS: u64 = 150;
 
-/// A call at an engine: instance, id and end of service.
+/// A running call at an engine: index of the instance, id of the call, and end time.
 type EngineCall = (usize, u64, u64);
 
 #[derive(Default)]
@@ -32,7 +32,7 @@
             let Some((instance, id)) = self.waiting.pop_front() else {
                 break;
             };
-            // Different lengths keep the calls from ending all at once.
+            // Varies the service time, so that the calls do not all end at once.
             let service_ms = SERVICE_MS / 2 + (id * 7 % 11) * SERVICE_MS / 10;
             self.running.push((instance, id, now_ms + service_ms));
         }
@@ -40,7 +40,7 @@
     }
 }
 
-/// Instances with a steady number of unfinished calls each.
+/// Simulated instances and engines. Each instance keeps a given number of calls unfinished.
 pub struct Simulation {
     schedulers: Vec<Scheduler>,
     engines: BTreeMap<String, Engine>,
@@ -48,9 +48,9 @@
     unfinished: Vec<u64>,
     now_ms: u64,
     next_id: u64,
-    /// Finished calls of each instance.
+    /// Number of finished calls of each instance.
     pub finished: Vec<u64>,
-    /// Most calls that waited at one engine.
+    /// Maximum number of calls that waited at one engine.
     pub most_waiting: usize,
     waiting_sum: usize,
     running_sum: usize,
@@ -70,7 +70,7 @@
                 number: 1,
             };
             let seed = u64::from(position);
-            let settings = SchedulerSettings::new(incarnation, OWN_ZONE, seed);
+            let settings = SchedulerSettings::new(incarnation, LOCAL_ZONE, seed);
             let mut scheduler = SchedulerBuilder::new(settings).build();
             let configuration = configuration.clone().into();
             scheduler.apply(0, Event::ConfigurationChanged(configuration));
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Runs for `duration_ms` with `target(instance)` unfinished calls at each instance.
+    /// Runs for `duration_ms`, and keeps `target(instance)` calls unfinished at each instance.
     pub fn run(&mut self, duration_ms: u64, target: impl Fn(usize) -> u64) {
         let end_ms = self.now_ms + duration_ms;
         while self.now_ms < end_ms {
@@ -129,6 +129,7 @@
         }
     }
 
+    /// Resets all counts, to exclude a warm-up phase.
     pub fn reset_counts(&mut self) {
         self.finished.fill(0);
         self.most_waiting = 0;
@@ -137,11 +138,12 @@
         self.slot_sum = 0;
     }
 
+    /// Mean number of slots in use, in percent of all slots.
     pub fn mean_running_percent(&self) -> usize {
         self.running_sum * 100 / self.slot_sum
     }
 
-    /// Calls that waited in the engines, in percent of the slots.
+    /// Mean number of calls that waited in the engines, in percent of the slots.
     pub fn mean_waiting_percent(&self) -> usize {
         self.waiting_sum * 100 / self.slot_sum
     }
