--- a/crates/model/src/refusal.rs
+++ b/crates/model/src/refusal.rs
@@ -75,7 +75,8 @@
     NotAllowed,
     /// The model, profile, program or path does not exist.
     NotFound,
-    /// The instance has no valid configuration, or is shutting down.
+    /// The instance has no valid configuration yet, cannot verify keys because the store was
+    /// unreachable for too long, or is shutting down.
     NotReady,
     /// The instance or the endpoints have no capacity for the request now.
     Overloaded,
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -8,7 +8,8 @@
 const SUSPECT_AFTER_FAILURES: u32 = 3;
 /// Number of consecutive failed probes after which a suspect endpoint counts as down.
 const DOWN_AFTER_FAILED_PROBES: u32 = 3;
-/// Time between two probes. Doubles with each consecutive failed probe.
+/// Time until the first probe and between two probes. Doubles with each consecutive failed
+/// probe.
 const PROBE_INTERVAL_MS: u64 = 500;
 /// Upper bound of the time between two probes.
 const MAX_PROBE_INTERVAL_MS: u64 = 16_000;
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -181,6 +181,7 @@
         effects
     }
 
+    /// Applies the events that only change the state of endpoints.
     fn apply_to_endpoints(&mut self, now_ms: u64, event: Event) {
         match event {
             Event::EndpointsLeaving { names } => {
@@ -210,6 +211,7 @@
         }
     }
 
+    /// Handles `Tick`: timeouts of waiting calls, cache releases and due probes.
     fn tick(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
         self.refuse_overdue(now_ms, out);
         self.refuse_over_rate(now_ms, out);
@@ -231,6 +233,7 @@
             .max(Some(last_store_contact_at_ms));
     }
 
+    /// Sends `DrainComplete` when no call is left during a planned shutdown.
     fn report_drain(&mut self, out: &mut Vec<Effect>) {
         let idle = self.draining && self.calls.is_empty();
         if idle && !self.drain_reported {
