--- a/crates/scheduler/src/arrival.rs
+++ b/crates/scheduler/src/arrival.rs
@@ -199,7 +199,7 @@
             false => {
                 let refusal = Refusal::not_run(
                     RefusalReason::Overloaded,
-                    "the expected wait exceeds the profile's maximum waiting time",
+                    "the expected wait exceeds the profile's limit",
                 );
                 Err(refusal.retry_after_ms(self.retry_after_ms(group, call.customer)))
             }
--- a/crates/scheduler/src/check.rs
+++ b/crates/scheduler/src/check.rs
@@ -39,10 +39,7 @@
         arrived: &CallArrived,
     ) -> Result<CheckedCall, Refusal> {
         let configuration = self.configuration.as_deref().ok_or_else(|| {
-            Refusal::not_run(
-                RefusalReason::NotReady,
-                "the instance has no configuration yet",
-            )
+            Refusal::not_run(RefusalReason::NotReady, "no configuration yet")
         })?;
         let route = match &arrived.operation {
             CallOperation::Service { path } => Some(find_route(configuration, path)?),
@@ -86,14 +83,14 @@
         if offline {
             return Err(Refusal::not_run(
                 RefusalReason::NotReady,
-                "keys cannot be verified: the store has been unreachable for too long",
+                "keys cannot be checked because the store was out of reach for too long",
             ));
         }
         let refusal = |message| Refusal::not_run(RefusalReason::InvalidKey, message);
-        let hash = key.ok_or_else(|| refusal("a customer key is required"))?;
+        let hash = key.ok_or_else(|| refusal("a key is required"))?;
         self.customer_of(configuration, hash)
             .map(str::to_string)
-            .ok_or_else(|| refusal("the customer key is unknown or withdrawn"))
+            .ok_or_else(|| refusal("the key is unknown or withdrawn"))
     }
 
     /// Returns the customer of a key, or `None` if the key is unknown or withdrawn, or its
--- a/crates/scheduler/src/configure.rs
+++ b/crates/scheduler/src/configure.rs
@@ -104,7 +104,7 @@
         for key in withdrawn {
             if self.calls.contains_key(key) {
                 let reason = RefusalReason::InvalidKey;
-                self.cancel(now_ms, key, reason, "the customer key was withdrawn", out);
+                self.cancel(now_ms, key, reason, "the key was withdrawn", out);
             }
         }
     }
--- a/crates/scheduler/src/outcome.rs
+++ b/crates/scheduler/src/outcome.rs
@@ -163,7 +163,7 @@
     ) {
         if let Some(key) = self.calls_by_id.get(&request_id).copied() {
             let reason = RefusalReason::CallerGone;
-            let message = "the caller closed its connection";
+            let message = "the caller went away";
             self.cancel(now_ms, key, reason, message, out);
         }
     }
--- a/crates/scheduler/src/rate.rs
+++ b/crates/scheduler/src/rate.rs
@@ -141,7 +141,7 @@
         };
         let refusal = Refusal::not_run(
             RefusalReason::RateExceeded,
-            "the customer's rate limit is exceeded",
+            "the customer's rate is used up",
         )
         .retry_after_ms(call.rate_retry_after_ms);
         self.refuse_waiting(now_ms, key, refusal, out);
--- a/crates/scheduler/src/wait.rs
+++ b/crates/scheduler/src/wait.rs
@@ -76,12 +76,12 @@
         match call.state {
             CallState::Waiting { group } => Refusal::not_run(
                 RefusalReason::Overloaded,
-                "no endpoint became free within the profile's maximum waiting time",
+                "no endpoint was free within the profile's waiting time",
             )
             .retry_after_ms(self.retry_after_ms(group, call.customer)),
             _ => Refusal::not_run(
                 RefusalReason::Overloaded,
-                "an earlier call of the program did not end within the profile's maximum waiting time",
+                "an earlier call of the program took longer than the waiting time",
             )
             .retry_after_ms(MIN_RETRY_AFTER_MS),
         }
