--- a/crates/gateway/src/backoff.rs
+++ b/crates/gateway/src/backoff.rs
@@ -1,36 +1,39 @@
-//! Pauses between calls that fail.
+//! Exponential backoff between failed calls of the metadata store.
 //!
-//! Answers the pattern of a store that is down for all: if each instance repeats its calls a few
-//! times a second, the larger the installation, the more calls meet the store when it is back.
-//! A few instances with disks repeat theirs quickly, and the others learn from them.
+//! Without it, every entry instance would retry several times a second while the store is
+//! down, and the load on the recovering store would grow with the size of the installation.
+//! Only the few instances with a disk retry at a short fixed interval; entry instances read
+//! the results from them.
 
-/// First pause after a failure, in milliseconds: a few times a call that is answered.
-const FIRST_MS: u64 = 200;
+/// Pause after the first failure, in milliseconds: several times the duration of a successful
+/// call.
+const INITIAL_PAUSE_MS: u64 = 200;
 
-/// Longest pause, in milliseconds: half of the shortest time in which a change must be in force.
-const LONGEST_MS: u64 = 1_000;
+/// Upper bound of the pause, in milliseconds: half of the shortest time within which a
+/// configuration change must be in force.
+const MAX_PAUSE_MS: u64 = 1_000;
 
-/// When a call that failed may be made again. The pause doubles with each failure in a row.
+/// Tells when a failed call may be retried. The pause doubles with each consecutive failure.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Backoff {
-    failures: u32,
-    until_ms: u64,
+    consecutive_failures: u32,
+    paused_until_ms: u64,
 }
 
 impl Backoff {
-    /// Whether the call may be made.
+    /// Whether the pause has passed, so that the call may be made.
     pub fn is_over(&self, now_ms: u64) -> bool {
-        self.until_ms <= now_ms
+        self.paused_until_ms <= now_ms
     }
 
-    /// The call failed.
+    /// Records a failed call, which starts a pause.
     pub fn fail(&mut self, now_ms: u64) {
-        let pause_ms = FIRST_MS << self.failures.min(8);
-        self.failures += 1;
-        self.until_ms = now_ms + pause_ms.min(LONGEST_MS);
+        let pause_ms = INITIAL_PAUSE_MS << self.consecutive_failures.min(8);
+        self.consecutive_failures += 1;
+        self.paused_until_ms = now_ms + pause_ms.min(MAX_PAUSE_MS);
     }
 
-    /// The call was answered, or is not needed.
+    /// Ends the pause: the call succeeded, or its result came from another instance.
     pub fn succeed(&mut self) {
         *self = Backoff::default();
     }
--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -1,9 +1,10 @@
-//! Which endpoint gets the next request.
+//! Load balancing: chooses the endpoint for each request.
 //!
-//! Other instances send to the same endpoints, and what endpoints tell of their load is old
-//! by the time it is used. The estimate is the last report, corrected by what this instance
-//! sent and finished since; the part that comes from others fades, since nothing is known
-//! about how it went on.
+//! Other entry instances send to the same endpoints, and a load that an endpoint reports is
+//! outdated by the time it is used. The load of an endpoint is therefore estimated as the
+//! requests that this instance has in flight there, plus the load caused by other instances
+//! as of the last report. The second part decays exponentially with the age of the report,
+//! since nothing is known about how those requests went on.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,115 +15,119 @@
 use crate::protocol::Load;
 
 new_key_type! {
-    /// An endpoint that is known.
+    /// Identifies one run of an endpoint. A restarted endpoint gets a new key.
     pub struct EndpointKey;
 }
 
-/// Half of the load that others were seen to cause is forgotten in this time, in
-/// milliseconds: about the length of a request.
+/// Half-life of the load that other instances cause, in milliseconds: about the duration of a
+/// request.
 const OTHERS_HALF_LIFE_MS: f64 = 400.0;
 
-/// Load that an endpoint of another availability zone must have less, relative to its slots,
-/// to be preferred. Traffic between zones is dear.
-const ZONE_PENALTY: f64 = 0.7;
+/// Score penalty for an endpoint in another availability zone, in units of load per slot.
+/// Traffic between zones is expensive.
+const REMOTE_ZONE_PENALTY: f64 = 0.7;
 
-/// Advantage, relative to its slots, of the endpoint that holds the program's earlier turns
-/// in its cache.
+/// Score bonus, in units of load per slot, for the endpoint that has the program's earlier
+/// turns in its cache.
 const AFFINITY_BONUS: f64 = 0.10;
 
-/// First pause after a failure, in milliseconds. It doubles with each further one.
-const FIRST_PAUSE_MS: u64 = 250;
+/// Pause after the first failure of an endpoint, in milliseconds. It doubles with each
+/// consecutive failure.
+const INITIAL_PAUSE_MS: u64 = 250;
 
-/// Longest pause after failures, in milliseconds: an endpoint that is back is found within
-/// the time in which the registry would tell of a new one.
-const LONGEST_PAUSE_MS: u64 = 2_000;
+/// Upper bound of the pause, in milliseconds: a recovered endpoint is used again within the
+/// time in which the registry would announce a new one.
+const MAX_PAUSE_MS: u64 = 2_000;
 
-/// A time to the first byte counts with this weight in the average of an endpoint.
-const SPEED_WEIGHT: f64 = 0.2;
+/// Weight of the newest time to first byte in an endpoint's moving average.
+const LATENCY_WEIGHT: f64 = 0.2;
 
-/// Averages of speed fade toward the service's in this time, in milliseconds, so that an
-/// endpoint that was slow is tried again.
-const SPEED_MEMORY_MS: f64 = 4_000.0;
+/// Time constant, in milliseconds, with which an endpoint's slowness decays towards the
+/// service's average, so that an endpoint that was slow is tried again.
+const SLOWNESS_DECAY_MS: f64 = 4_000.0;
 
-/// Load that an endpoint which answers only with errors, or not at all, must have less, relative to its slots,
-/// to be preferred. More than a zone's penalty, so that errors of a whole zone are left.
+/// Score penalty for an endpoint that only fails, in units of load per slot. Larger than the
+/// penalty for a remote zone, so that requests leave a zone in which every endpoint fails.
 const ERROR_PENALTY: f64 = 1.0;
 
-/// An error counts with this weight in the part of errors: an instance sends an endpoint few
-/// requests a second, so one must be enough to try others.
+/// Weight of a failed request in an endpoint's error rate. An instance sends few requests a
+/// second to one endpoint, so a single error must be enough to try others.
 const ERROR_WEIGHT: f64 = 0.5;
 
-/// An answer without an error counts with this weight in the part of errors, less than an
-/// error, since an endpoint may fail some requests only.
+/// Weight of a successful request in an endpoint's error rate. Lower than that of an error,
+/// since an endpoint may fail only some of its requests.
 const SUCCESS_WEIGHT: f64 = 0.1;
 
-/// The part of errors fades in this time, in milliseconds: an instance sends a healthy endpoint
-/// a request every few seconds.
-const ERROR_MEMORY_MS: f64 = 5_000.0;
+/// Time constant, in milliseconds, with which the error rate decays. An instance sends a
+/// healthy endpoint a request every few seconds.
+const ERROR_DECAY_MS: f64 = 5_000.0;
 
-/// Estimated load in multiples of the slots from which an endpoint counts as overloaded: its
-/// queue is three times its slots.
+/// Load per slot above which an endpoint counts as overloaded. The queue of an endpoint is
+/// three times its slots.
 const OVERLOAD: f64 = 3.5;
 
 #[derive(Debug)]
 struct Endpoint {
     entry: EndpointEntry,
+    /// Requests of this instance that are in flight.
     own: u32,
+    /// Requests of other instances as of `reported_ms`.
     others: f64,
     reported_ms: u64,
-    failures: u32,
+    consecutive_failures: u32,
     paused_until_ms: u64,
-    /// It could not be reached, and has not been reached since.
+    /// No connection could be made, and none has been made since.
     is_suspended: bool,
-    /// Average time to the first byte over the service's average.
+    /// Average time to first byte, divided by the service's average. Valid at `slowness_ms`.
     slowness: f64,
     slowness_ms: u64,
-    /// Part of the sends that ended with an error or with no answer, the newest ones counting
-    /// most. 0 to 1.
-    error_part: f64,
-    error_part_ms: u64,
+    /// Exponentially weighted share of the requests that failed or got no response, from 0 to
+    /// 1. Valid at `error_rate_ms`.
+    error_rate: f64,
+    error_rate_ms: u64,
 }
 
-/// The choice for one send.
+/// The endpoint chosen for one send.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Pick {
-    /// The endpoint.
+    /// Its key in the balancer.
     pub key: EndpointKey,
-    /// Its identifier.
+    /// Its identifier in the registry.
     pub id: String,
     /// Where it listens.
     pub address: SocketAddr,
-    /// Whether it is in another availability zone.
+    /// Whether it is in another availability zone than this instance.
     pub is_remote: bool,
 }
 
-/// All endpoints, as one instance sees them.
+/// Load, errors and latency of all endpoints, as one entry instance observes them.
 #[derive(Debug)]
 pub struct Balancer {
     availability_zone: String,
     endpoints: SlotMap<EndpointKey, Endpoint>,
-    /// One key for each endpoint, by its identifier.
+    /// Keys by the endpoints' identifiers.
     by_id: HashMap<String, EndpointKey>,
-    /// Average time to the first byte by service, in milliseconds.
-    service_speed_ms: HashMap<String, f64>,
+    /// Average time to first byte by service, in milliseconds.
+    service_latency_ms: HashMap<String, f64>,
 }
 
 impl Balancer {
-    /// A balancer of an instance in this availability zone.
+    /// A balancer without endpoints, for an instance in `availability_zone`.
     pub fn new(availability_zone: &str) -> Balancer {
         Balancer {
             availability_zone: availability_zone.to_string(),
             endpoints: SlotMap::with_key(),
             by_id: HashMap::new(),
-            service_speed_ms: HashMap::new(),
+            service_latency_ms: HashMap::new(),
         }
     }
 
-    /// An endpoint is there, as told. One that started again under its identifier is new.
+    /// Adds an endpoint or updates its entry. If it was restarted under the same identifier,
+    /// everything observed about the earlier run is dropped.
     pub fn upsert(&mut self, entry: EndpointEntry) {
         let known = self.by_id.get(&entry.id).copied();
-        let same = known.and_then(|key| self.endpoints.get_mut(key));
-        match same {
+        let existing = known.and_then(|key| self.endpoints.get_mut(key));
+        match existing {
             Some(endpoint) if is_same_run(&endpoint.entry, &entry) => {
                 endpoint.entry = entry;
             }
@@ -140,37 +145,39 @@
             own: 0,
             others: 0.0,
             reported_ms: 0,
-            failures: 0,
+            consecutive_failures: 0,
             paused_until_ms: 0,
             is_suspended: false,
             slowness: 1.0,
             slowness_ms: 0,
-            error_part: 0.0,
-            error_part_ms: 0,
+            error_rate: 0.0,
+            error_rate_ms: 0,
         });
         self.by_id.insert(id, key);
     }
 
-    /// An endpoint is gone.
+    /// Removes an endpoint that is no longer registered.
     pub fn remove(&mut self, id: &str) {
         if let Some(key) = self.by_id.remove(id) {
             self.endpoints.remove(key);
         }
     }
 
-    /// Whether an endpoint is still there.
+    /// Whether this run of an endpoint is still registered.
     pub fn contains(&self, key: EndpointKey) -> bool {
         self.endpoints.contains_key(key)
     }
 
-    /// Whether any endpoint of a service takes new work.
+    /// Whether any endpoint of a service accepts new requests, that is, is not draining.
     pub fn serves(&self, service: &str) -> bool {
         let mut endpoints = self.endpoints.values();
         endpoints.any(|e| e.entry.service == service && !e.entry.is_draining)
     }
 
-    /// Chooses an endpoint of a service. `affinity` is the one that ran the program's last
-    /// turn. Endpoints that have failed lately are only used if no other is there.
+    /// Chooses the endpoint of a service with the lowest score. `affinity` is the identifier of
+    /// the endpoint that ran the program's last turn; endpoints in `tried` are left out.
+    ///
+    /// An endpoint that failed recently is chosen only if there is no other.
     pub fn pick(
         &self,
         now_ms: u64,
@@ -195,25 +202,29 @@
         })
     }
 
+    /// Estimated load per slot with one more request, corrected by penalties and bonuses.
+    /// Lower is better. The terms for paused and suspended endpoints exceed all others.
     fn score(&self, now_ms: u64, endpoint: &Endpoint, affinity: Option<&str>) -> f64 {
         let load = endpoint.load(now_ms) + 1.0 / f64::from(endpoint.entry.slots);
         let is_remote = endpoint.entry.availability_zone != self.availability_zone;
-        let is_known = affinity == Some(endpoint.entry.id.as_str());
-        let paused = match endpoint.paused_until_ms > now_ms {
-            true => 1_000.0 + f64::from(endpoint.failures),
+        let holds_cache = affinity == Some(endpoint.entry.id.as_str());
+        let pause_penalty = match endpoint.paused_until_ms > now_ms {
+            true => 1_000.0 + f64::from(endpoint.consecutive_failures),
             false => 0.0,
         };
-        let suspended = if endpoint.is_suspended { 10_000.0 } else { 0.0 };
-        let zone = if is_remote { ZONE_PENALTY } else { 0.0 };
-        let cached = if is_known { AFFINITY_BONUS } else { 0.0 };
+        let suspension_penalty = if endpoint.is_suspended { 10_000.0 } else { 0.0 };
+        let zone_penalty = if is_remote { REMOTE_ZONE_PENALTY } else { 0.0 };
+        let cache_bonus = if holds_cache { AFFINITY_BONUS } else { 0.0 };
         let slowness = endpoint.slowness_at(now_ms);
-        let errors = ERROR_PENALTY * endpoint.error_part_at(now_ms);
-        load * slowness + (slowness - 1.0) * 0.5 + errors + zone - cached
-            + paused
-            + suspended
+        let error_penalty = ERROR_PENALTY * endpoint.error_rate_at(now_ms);
+        load * slowness + (slowness - 1.0) * 0.5 + error_penalty + zone_penalty
+            - cache_bonus
+            + pause_penalty
+            + suspension_penalty
     }
 
-    /// Whether every endpoint of a service has more work than it can queue.
+    /// Whether every endpoint of a service has more work than it can queue, judged by its
+    /// estimated load.
     pub fn is_overloaded(&self, now_ms: u64, service: &str) -> bool {
         let mut usable = self.endpoints.values().filter(|endpoint| {
             endpoint.entry.service == service && !endpoint.entry.is_draining
@@ -221,21 +232,22 @@
         usable.all(|endpoint| endpoint.load(now_ms) > OVERLOAD)
     }
 
-    /// A request is sent.
+    /// Counts a request as in flight at an endpoint.
     pub fn begin(&mut self, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.own += 1;
         }
     }
 
-    /// A request has ended, whatever became of it.
+    /// Ends the count that `begin` started, whatever the outcome of the request.
     pub fn end(&mut self, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.own = endpoint.own.saturating_sub(1);
         }
     }
 
-    /// An endpoint tells its load, the request that is being answered included.
+    /// Takes the load that an endpoint reports in the head of a response. It includes the
+    /// request to which the response belongs.
     pub fn report(&mut self, now_ms: u64, key: EndpointKey, load: Load) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             let total = f64::from(load.running + load.waiting);
@@ -244,34 +256,35 @@
         }
     }
 
-    /// The endpoint could not be reached, or broke off.
+    /// Records a request without a usable response, and pauses the endpoint.
     pub fn fail(&mut self, now_ms: u64, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            let pause_ms = FIRST_PAUSE_MS << endpoint.failures.min(8);
-            endpoint.failures += 1;
-            endpoint.note_answer(now_ms, true);
-            endpoint.paused_until_ms = now_ms + pause_ms.min(LONGEST_PAUSE_MS);
+            let pause_ms = INITIAL_PAUSE_MS << endpoint.consecutive_failures.min(8);
+            endpoint.consecutive_failures += 1;
+            endpoint.update_error_rate(now_ms, true);
+            endpoint.paused_until_ms = now_ms + pause_ms.min(MAX_PAUSE_MS);
         }
     }
 
-    /// The endpoint could not be reached. It is used only if no other is there, until
-    /// `resume`. Returns false if that was known.
+    /// Records that no connection to an endpoint could be made. It is chosen only if there is
+    /// no other, until `resume`. Returns false if it was suspended already.
     pub fn suspend(&mut self, key: EndpointKey) -> bool {
         let endpoint = self.endpoints.get_mut(key);
         endpoint
             .is_some_and(|endpoint| !std::mem::replace(&mut endpoint.is_suspended, true))
     }
 
-    /// The endpoint was reached again.
+    /// Records that a connection was made, which ends suspension and pause.
     pub fn resume(&mut self, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.is_suspended = false;
-            endpoint.failures = 0;
+            endpoint.consecutive_failures = 0;
             endpoint.paused_until_ms = 0;
         }
     }
 
-    /// The endpoint has no room at the moment.
+    /// Records that the endpoint rejected a request without running it. It then counts as
+    /// overloaded.
     pub fn reject(&mut self, now_ms: u64, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             let slots = f64::from(endpoint.entry.slots);
@@ -280,34 +293,34 @@
         }
     }
 
-    /// The endpoint answered that it failed.
+    /// Records a response that reports a failure of the endpoint. It causes no pause.
     pub fn record_error_response(&mut self, now_ms: u64, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.note_answer(now_ms, true);
+            endpoint.update_error_rate(now_ms, true);
         }
     }
 
-    /// The first byte of an answer came after `elapsed_ms`.
+    /// Records a successful response whose first byte arrived `elapsed_ms` after the request.
     pub fn succeed(&mut self, now_ms: u64, key: EndpointKey, elapsed_ms: u64) {
         let Some(endpoint) = self.endpoints.get_mut(key) else {
             return;
         };
         let elapsed_ms = elapsed_ms.max(1) as f64;
         let service = endpoint.entry.service.clone();
-        let average_ms = self.service_speed_ms.entry(service).or_insert(elapsed_ms);
-        *average_ms += (elapsed_ms - *average_ms) * SPEED_WEIGHT / 4.0;
+        let average_ms = self.service_latency_ms.entry(service).or_insert(elapsed_ms);
+        *average_ms += (elapsed_ms - *average_ms) * LATENCY_WEIGHT / 4.0;
         let relative = (elapsed_ms / *average_ms).clamp(0.5, 10.0);
         let slowness = endpoint.slowness_at(now_ms);
-        endpoint.slowness = slowness + (relative - slowness) * SPEED_WEIGHT;
+        endpoint.slowness = slowness + (relative - slowness) * LATENCY_WEIGHT;
         endpoint.slowness_ms = now_ms;
-        endpoint.note_answer(now_ms, false);
-        endpoint.failures = 0;
+        endpoint.update_error_rate(now_ms, false);
+        endpoint.consecutive_failures = 0;
         endpoint.paused_until_ms = 0;
     }
 }
 
 impl Endpoint {
-    /// Estimated requests over slots.
+    /// Estimated number of requests, running and waiting, per slot.
     fn load(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.reported_ms) as f64;
         let others =
@@ -315,29 +328,31 @@
         (f64::from(self.own) + others) / f64::from(self.entry.slots)
     }
 
-    fn note_answer(&mut self, now_ms: u64, is_error: bool) {
-        let before = self.error_part_at(now_ms);
-        self.error_part = match is_error {
+    /// Updates the error rate with the outcome of one request.
+    fn update_error_rate(&mut self, now_ms: u64, is_error: bool) {
+        let before = self.error_rate_at(now_ms);
+        self.error_rate = match is_error {
             true => before + (1.0 - before) * ERROR_WEIGHT,
             false => before * (1.0 - SUCCESS_WEIGHT),
         };
-        self.error_part_ms = now_ms;
+        self.error_rate_ms = now_ms;
     }
 
-    fn error_part_at(&self, now_ms: u64) -> f64 {
-        let age_ms = now_ms.saturating_sub(self.error_part_ms) as f64;
-        self.error_part * (-age_ms / ERROR_MEMORY_MS).exp()
+    fn error_rate_at(&self, now_ms: u64) -> f64 {
+        let age_ms = now_ms.saturating_sub(self.error_rate_ms) as f64;
+        self.error_rate * (-age_ms / ERROR_DECAY_MS).exp()
     }
 
     fn slowness_at(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.slowness_ms) as f64;
-        let weight = (-age_ms / SPEED_MEMORY_MS).exp();
+        let weight = (-age_ms / SLOWNESS_DECAY_MS).exp();
         (1.0 + (self.slowness - 1.0) * weight).max(1.0)
     }
 }
 
-fn is_same_run(known: &EndpointEntry, told: &EndpointEntry) -> bool {
-    known.address == told.address
-        && known.service == told.service
-        && known.started_unix_ms == told.started_unix_ms
+/// Whether two entries with the same identifier are of the same run of an endpoint.
+fn is_same_run(known: &EndpointEntry, new: &EndpointEntry) -> bool {
+    known.address == new.address
+        && known.service == new.service
+        && known.started_unix_ms == new.started_unix_ms
 }
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,22 +1,22 @@
-//! Time that also counts while the machine is suspended.
+//! A clock that keeps counting while the machine is suspended.
 //!
-//! Proofs of freshness and tokens of a rate must not outlive a suspension, which the
-//! monotonic clock leaves out.
+//! Quota tokens and the proof that the configuration is current must expire during a
+//! suspension. The monotonic clock stops then, so it can't be used for them.
 
 use std::time::Duration;
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// Milliseconds since the machine started, suspensions included. Never goes back.
+/// Milliseconds since boot, including time in suspension. Never goes backwards.
 pub fn now_ms() -> u64 {
     let time = clock_gettime(ClockId::Boottime);
-    // The clock counts from the start of the machine, so it is never negative.
+    // The clock counts from boot, so neither part is negative.
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
     let nanoseconds = u64::try_from(time.tv_nsec).unwrap_or(0);
     seconds * 1_000 + nanoseconds / 1_000_000
 }
 
-/// Waits for a time in milliseconds.
+/// Sleeps for `time_ms` milliseconds. The timer does not count time in suspension.
 pub(crate) async fn pause(time_ms: u64) {
     tokio::time::sleep(Duration::from_millis(time_ms)).await;
 }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,50 +1,50 @@
-//! The configuration as an entry instance uses it.
+//! The operator's configuration, decoded and indexed for routing and admission.
 
 use std::collections::HashMap;
 
 use jayreel_ledger::RateLimit;
 
-/// One version of the configuration, indexed.
+/// One version of the configuration. Immutable; a change replaces it as a whole.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Version that the operator gave it.
+    /// Version number assigned by the operator.
     pub version: u64,
-    /// All routes. Those of one host are found by `route`.
+    /// All routes of all hosts, in no particular order. Looked up with [`Configuration::route`].
     pub routes: Vec<Route>,
     /// Services by name.
     pub services: HashMap<String, Service>,
-    /// Customers by name. Empty if requests need no key.
+    /// Customers by name. If there are none, requests need no key.
     pub customers: HashMap<String, Customer>,
-    /// Customer by key.
+    /// Name of the customer by API key.
     pub keys: HashMap<String, String>,
-    /// Limits for callers.
+    /// Limits that apply to every caller connection.
     pub limits: Limits,
 }
 
-/// A customer and its contract.
+/// What a customer's contract says about its requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Customer {
-    /// Goes before the priority of routes. 0 is the most urgent.
+    /// Overrides the priority of the route, if set. 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Rate and burst over all instances.
+    /// Request rate and burst, counted over all entry instances together.
     pub limit: RateLimit,
 }
 
-/// What callers may send, and how long they may take.
+/// Size and time limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Size of a head, in bytes.
+    /// Largest request head, in bytes.
     pub head_bytes: usize,
-    /// Size of a body, in bytes.
+    /// Largest request body, in bytes.
     pub body_bytes: usize,
-    /// Time for a head, in milliseconds.
+    /// Time for a caller to send a whole request head, in milliseconds.
     pub head_ms: u64,
-    /// Time that a connection may be idle, in milliseconds.
+    /// Time after which an idle connection is closed, in milliseconds.
     pub idle_ms: u64,
 }
 
 impl Default for Limits {
-    /// In force until the first configuration is read.
+    /// The limits that apply until the first configuration is read.
     fn default() -> Limits {
         Limits {
             head_bytes: 16_384,
@@ -55,22 +55,22 @@
     }
 }
 
-/// What may be done with a request whose outcome is not known.
+/// Whether a request may be sent again when it is unknown if it ran.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallKind {
-    /// It may run again.
+    /// Running it more than once does no harm.
     Idempotent,
-    /// It may run at most once.
+    /// It must run at most once.
     Once,
-    /// A stream of events.
+    /// The response is an event stream.
     Stream {
-        /// Another endpoint can continue it after the last event that arrived.
+        /// Another endpoint can continue the stream after the last event received.
         is_resumable: bool,
     },
 }
 
 impl CallKind {
-    /// Whether a request may be sent again although it may have run.
+    /// Whether a request may be sent again although an earlier send may have run.
     pub fn may_run_again(self) -> bool {
         match self {
             CallKind::Idempotent => true,
@@ -80,41 +80,41 @@
     }
 }
 
-/// A service and its share of a route's requests.
+/// A service and the share of a route's requests that it gets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceShare {
-    /// Name of the service.
+    /// Key in [`Configuration::services`].
     pub service: String,
-    /// Relative to the other shares.
+    /// Weight of this service, relative to the sum of the weights of the route.
     pub weight: u32,
 }
 
-/// A path prefix of a host.
+/// Handling of the requests to one host whose path has a given prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Name, unique.
+    /// Unique name, used in logs and metrics.
     pub name: String,
-    /// Host that callers name.
+    /// Host that the request must name, without a port.
     pub host: String,
-    /// Begins and ends with a slash.
+    /// Path prefix. Begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be sent again.
     pub kind: CallKind,
-    /// Longest time that a request may take, in milliseconds.
+    /// Upper bound of the time for a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer is on time, in milliseconds.
+    /// Target latency, in milliseconds: an answer within this time is on time.
     pub target_ms: u64,
-    /// 0 is the most urgent.
+    /// Priority of its requests, unless the customer has its own. 0 is the most urgent.
     pub priority: u8,
-    /// Where requests go. At least one.
+    /// The services among which its requests are divided. Never empty.
     pub services: Vec<ServiceShare>,
-    /// Endpoints to which one request may be sent. At least 1.
+    /// Number of endpoints to which one request may be sent. At least 1.
     pub max_attempts: u32,
-    /// Finished turns are kept, and requests carry only what is new.
+    /// Finished turns are stored, so that a request carries only the new part of its input.
     pub keeps_turns: bool,
-    /// How long turns and programs can be continued, in milliseconds.
+    /// How long stored turns and programs can be continued, in milliseconds.
     pub retention_ms: u64,
-    /// Requests need no key.
+    /// Requests need no API key.
     pub is_open: bool,
 }
 
@@ -123,19 +123,19 @@
 pub struct Service {
     /// Connections that one endpoint accepts from all callers together.
     pub max_connections: usize,
-    /// Set if the endpoints are model engines.
+    /// Present if the endpoints are model engines.
     pub engine: Option<Engine>,
 }
 
-/// Model engines of a service.
+/// Properties of the model engines of a service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Engine {
-    /// Tokens that each event of a stream stands for.
+    /// Number of tokens that one event of a response stream counts for.
     pub event_tokens: u32,
 }
 
 impl Configuration {
-    /// The route of a request: of its host, the one with the longest matching prefix.
+    /// The route of a request: the one of its host with the longest matching path prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.routes.iter();
         routes
@@ -143,7 +143,7 @@
             .max_by_key(|route| route.prefix.len())
     }
 
-    /// The customer that holds a key.
+    /// Name and contract of the customer that owns an API key.
     pub fn customer_of(&self, key: &str) -> Option<(&str, Customer)> {
         let name = self.keys.get(key)?;
         let customer = self.customers.get(name)?;
--- a/crates/gateway/src/contact.rs
+++ b/crates/gateway/src/contact.rs
@@ -1,78 +1,89 @@
-//! Whether an entry instance is in contact with the group of instances with disks.
+//! Failure detector for the group, as seen by one entry instance.
 //!
-//! Answers the pattern of an instance, or of a whole availability zone, that is cut off from
-//! the group while callers still reach it: every turn waits for a quorum that cannot answer.
-//! Such an instance refuses turns at once and reports that it is not ready, so that callers
-//! are sent elsewhere.
+//! A network partition can separate an entry instance, or a whole availability zone, from the
+//! group while callers still reach it. Every turn would then wait for a quorum that can't
+//! answer. An instance in this state refuses turns at once and fails its readiness check, so
+//! that the load balancer sends callers to other instances.
 //!
-//! When they should come back depends on who else is cut off. If the member of the own zone still
-//! answers, the whole zone is, and callers need the time until the balancer sends them to another
-//! one. If no member does, nor the store, the instance is alone, and the next attempt probably
-//! reaches another instance, so that a pause only costs time. If the store answers and a quorum does
-//! not, members are down for all instances, and callers need the time until they are back.
-
-/// Without an answer of a quorum for this long, in milliseconds, the contact is lost. Several
-/// questions have failed by then; a member that restarts does not take it away.
+//! The Retry-After of such a refusal depends on how far the partition reaches:
+//!
+//! * If the member in the instance's own zone still answers, the whole zone is cut off.
+//!   Callers wait until the load balancer sends them to another zone.
+//! * If neither a member nor the store answers, only this instance is cut off. The next
+//!   attempt probably reaches another instance, so a longer wait would only cost time.
+//! * If the store answers but a quorum does not, members are down for all instances. Callers
+//!   wait for the members to recover.
+
+/// Time without an answer from a quorum after which the group counts as lost, in
+/// milliseconds. Several probes have failed by then. The restart of one member doesn't count
+/// as a loss.
 const LOST_AFTER_MS: u64 = 450;
 
-/// Without an answer of a quorum for this long, in milliseconds, the instance is not ready.
-/// It may be wrong about that, since the balancer acts only on two looks a second apart.
+/// Time without an answer from a quorum after which the instance reports that it is not
+/// ready, in milliseconds. Shorter than [`LOST_AFTER_MS`], because a false alarm is harmless:
+/// the load balancer acts only on two failed checks a second apart.
 const UNREADY_AFTER_MS: u64 = 300;
 
-/// After this time without contact, in milliseconds, the balancer sends new connections
-/// elsewhere: it acts on two looks a second apart.
-const BALANCER_MS: u64 = 2_300;
+/// Time without a quorum after which the load balancer sends new connections to other
+/// instances, in milliseconds. It acts on two failed checks a second apart.
+const ROTATION_DELAY_MS: u64 = 2_300;
 
-/// Longest Retry-After without contact, in milliseconds: with the few attempts that callers have,
-/// the last ones come after the balancer has acted.
-const MOST_RETRY_MS: u64 = 900;
+/// Upper bound of the Retry-After without a quorum, in milliseconds. Callers make few
+/// attempts; with this interval the last ones come after the load balancer has acted.
+const MAX_RETRY_MS: u64 = 900;
 
-/// Retry-After if the next attempt probably reaches another instance, in milliseconds: enough for
-/// a new connection.
-const ELSEWHERE_RETRY_MS: u64 = 100;
+/// Retry-After if the next attempt probably reaches another instance, in milliseconds: long
+/// enough to open a new connection.
+const OTHER_INSTANCE_RETRY_MS: u64 = 100;
 
-/// Without an answer of anyone for this long an instance takes itself to be alone, in
-/// milliseconds: by then it has called the store, since no member tells it the configuration.
-const ALONE_AFTER_MS: u64 = 1_200;
+/// Time without a quorum after which an instance that hears from no member considers itself
+/// the only one that is cut off, in milliseconds. By then it has tried to read the
+/// configuration from the store, since no member sends it, so an answer of the store would be
+/// known.
+const ISOLATED_AFTER_MS: u64 = 1_200;
 
-/// Retry-After of an instance that has not heard from the group since its start, in milliseconds:
-/// a member that was killed at the same time needs about as long to read its disk.
-const START_RETRY_MS: u64 = 250;
+/// Retry-After of an instance that has not heard from a quorum since its start, in
+/// milliseconds: about the time that a member killed at the same moment needs to read its
+/// disk.
+const STARTUP_RETRY_MS: u64 = 250;
 
-/// The last answers of the group.
+/// Times of the last answers from the group and the store, from [`now_ms`](crate::now_ms).
+/// None before the first answer.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct GroupContact {
-    quorum_ms: Option<u64>,
-    member_ms: Option<u64>,
-    store_ms: Option<u64>,
+    last_quorum_ms: Option<u64>,
+    last_member_ms: Option<u64>,
+    last_store_ms: Option<u64>,
 }
 
 impl GroupContact {
-    /// A quorum answered.
+    /// Records answers from a quorum of the members.
     pub fn note_quorum(&mut self, now_ms: u64) {
-        self.quorum_ms = self.quorum_ms.max(Some(now_ms));
+        self.last_quorum_ms = self.last_quorum_ms.max(Some(now_ms));
         self.note_member(now_ms);
     }
 
-    /// A member answered.
+    /// Records an answer from one member.
     pub fn note_member(&mut self, now_ms: u64) {
-        self.member_ms = self.member_ms.max(Some(now_ms));
+        self.last_member_ms = self.last_member_ms.max(Some(now_ms));
     }
 
-    /// The store answered.
+    /// Records an answer from the metadata store.
     pub fn note_store(&mut self, now_ms: u64) {
-        self.store_ms = self.store_ms.max(Some(now_ms));
+        self.last_store_ms = self.last_store_ms.max(Some(now_ms));
     }
 
-    /// Whether the store has answered since the quorum fell silent.
-    fn has_heard_store_since_loss(&self) -> bool {
-        let lost_ms = self.quorum_ms.map(|quorum_ms| quorum_ms + LOST_AFTER_MS);
-        self.store_ms > lost_ms
+    /// Whether the store has answered since the quorum was lost.
+    fn has_store_answered_since_loss(&self) -> bool {
+        let lost_ms = self
+            .last_quorum_ms
+            .map(|last_quorum_ms| last_quorum_ms + LOST_AFTER_MS);
+        self.last_store_ms > lost_ms
     }
 
-    /// Time since a quorum answered, in milliseconds.
+    /// Time since a quorum last answered, in milliseconds. None if it never did.
     pub fn silence_ms(&self, now_ms: u64) -> Option<u64> {
-        Some(now_ms.saturating_sub(self.quorum_ms?))
+        Some(now_ms.saturating_sub(self.last_quorum_ms?))
     }
 
     /// Whether a quorum can be expected to answer.
@@ -81,41 +92,44 @@
         silence_ms.is_some_and(|silence_ms| silence_ms < LOST_AFTER_MS)
     }
 
-    /// Whether callers should be sent here.
+    /// Whether the readiness check should succeed as far as the group is concerned.
     pub fn is_ready(&self, now_ms: u64) -> bool {
         let silence_ms = self.silence_ms(now_ms);
         silence_ms.is_some_and(|silence_ms| silence_ms < UNREADY_AFTER_MS)
     }
 
-    /// Whether any member can be expected to answer.
+    /// Whether at least one member can be expected to answer.
     pub fn has_member(&self, now_ms: u64) -> bool {
-        let member_ms = self.member_ms;
-        member_ms.is_some_and(|member_ms| now_ms < member_ms + LOST_AFTER_MS)
+        let last_member_ms = self.last_member_ms;
+        last_member_ms
+            .is_some_and(|last_member_ms| now_ms < last_member_ms + LOST_AFTER_MS)
     }
 
-    /// Whether the balancer sends new connections elsewhere by now.
+    /// Whether the load balancer has stopped sending new connections to this instance by now,
+    /// judged by the time without a quorum.
     pub fn is_out_of_rotation(&self, now_ms: u64) -> bool {
         let silence_ms = self.silence_ms(now_ms);
-        silence_ms.is_some_and(|silence_ms| silence_ms >= BALANCER_MS)
+        silence_ms.is_some_and(|silence_ms| silence_ms >= ROTATION_DELAY_MS)
     }
 
-    /// When a caller may come back, in milliseconds: if the next attempt would reach this zone
-    /// again, once the balancer has acted. `has_near_member` tells whether the group has a member
-    /// in the own availability zone.
-    pub fn retry_ms(&self, now_ms: u64, has_near_member: bool) -> u64 {
+    /// Retry-After for callers refused for lack of a quorum, in milliseconds. If the next
+    /// attempt would reach the same zone again, it is the time until the load balancer acts.
+    /// `zone_has_member` tells whether the group has a member in this instance's availability
+    /// zone.
+    pub fn retry_ms(&self, now_ms: u64, zone_has_member: bool) -> u64 {
         match self.silence_ms(now_ms) {
-            None => START_RETRY_MS,
-            Some(_) if self.has_heard_store_since_loss() => MOST_RETRY_MS,
+            None => STARTUP_RETRY_MS,
+            Some(_) if self.has_store_answered_since_loss() => MAX_RETRY_MS,
             Some(silence_ms)
-                if has_near_member
+                if zone_has_member
                     && !self.has_member(now_ms)
-                    && silence_ms >= ALONE_AFTER_MS =>
+                    && silence_ms >= ISOLATED_AFTER_MS =>
             {
-                ELSEWHERE_RETRY_MS
+                OTHER_INSTANCE_RETRY_MS
             }
-            Some(silence_ms) => BALANCER_MS
+            Some(silence_ms) => ROTATION_DELAY_MS
                 .saturating_sub(silence_ms)
-                .clamp(ELSEWHERE_RETRY_MS, MOST_RETRY_MS),
+                .clamp(OTHER_INSTANCE_RETRY_MS, MAX_RETRY_MS),
         }
     }
 }
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -1,4 +1,8 @@
-//! The store that holds configuration, endpoints and the records of the group.
+//! Interface to the metadata store, and the types of its records.
+//!
+//! The store holds the operator's configuration, the endpoint registry, the retirements that
+//! the operator ordered, and the records that the instances keep for themselves, such as the
+//! group's membership. Each platform implements [`MetadataStore`] for its own store.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,18 +13,18 @@
 
 use crate::config::Configuration;
 
-/// Why the store gave no usable answer.
+/// Why a call of the store failed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum MetadataError {
-    /// Connecting, sending or waiting failed. A write may have been done.
+    /// Connecting, sending or waiting for the response failed. A write may have taken effect.
     Unreachable(String),
-    /// The store refused the call and did nothing.
+    /// The store refused the call with this status. It had no effect.
     Refused(u16),
-    /// The history asked for is gone. Read everything again.
+    /// The store no longer has the changes after the given revision. List everything again.
     HistoryLost,
-    /// A condition of a write does not hold.
+    /// The record was not at the revision that a conditional write expects.
     Conflict,
-    /// The answer could not be read.
+    /// The response could not be decoded.
     Unreadable(String),
 }
 
@@ -33,148 +37,157 @@
             MetadataError::Refused(status) => {
                 write!(f, "store refused with status {status}")
             }
-            MetadataError::HistoryLost => f.write_str("history of the store is gone"),
-            MetadataError::Conflict => f.write_str("condition does not hold"),
-            MetadataError::Unreadable(reason) => write!(f, "unreadable answer: {reason}"),
+            MetadataError::HistoryLost => {
+                f.write_str("store no longer has the requested history")
+            }
+            MetadataError::Conflict => {
+                f.write_str("record is not at the expected revision")
+            }
+            MetadataError::Unreadable(reason) => {
+                write!(f, "cannot decode the response of the store: {reason}")
+            }
         }
     }
 }
 
 impl std::error::Error for MetadataError {}
 
-/// The newest configuration as of the moment of reading.
+/// Result of a read of the newest configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigurationRead {
     /// Store revision of the configuration.
     pub revision: u64,
-    /// The record as stored, and its content. None if the reader knows this revision.
+    /// The record as stored and as decoded. None if the reader already has this revision.
     pub content: Option<(Bytes, Configuration)>,
 }
 
-/// An endpoint that registered itself.
+/// Registry entry of an endpoint, written by the endpoint itself.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EndpointEntry {
-    /// Identifier, unique among the endpoints that are there.
+    /// Identifier, unique among the registered endpoints.
     pub id: String,
-    /// Service to which it belongs.
+    /// Name of the service to which it belongs.
     pub service: String,
     /// Where it listens.
     pub address: SocketAddr,
     /// Its availability zone.
     pub availability_zone: String,
-    /// Requests that it runs at once. At least 1.
+    /// Number of requests that it runs at the same time. At least 1.
     pub slots: u32,
-    /// It finishes its work and takes no more.
+    /// It finishes its running requests and accepts no new ones.
     pub is_draining: bool,
-    /// Unix time of its start in milliseconds, if it tells. Changes when it starts again
+    /// Unix time of its start in milliseconds, if the entry has one. Differs after a restart
     /// under the same identifier.
     pub started_unix_ms: Option<u64>,
 }
 
-/// All endpoints as of a revision.
+/// All registered endpoints as of a store revision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointSnapshot {
-    /// Revision from which changes can be watched.
+    /// Store revision of the list. Changes after it can be watched.
     pub revision: u64,
-    /// Readable entries.
+    /// The entries that could be decoded.
     pub entries: Vec<EndpointEntry>,
-    /// Entries that could not be read and are left out.
+    /// Number of entries that could not be decoded. They are left out.
     pub unreadable: usize,
 }
 
-/// One change of an endpoint.
+/// One change of the endpoint registry.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum EndpointChange {
-    /// It is there, as told.
+    /// An entry was added or changed.
     Present(EndpointEntry),
-    /// Its entry is gone, or cannot be read any more.
+    /// The entry of the endpoint with this identifier was deleted, or can no longer be
+    /// decoded.
     Gone(String),
 }
 
-/// Changes since a revision.
+/// Changes of the endpoint registry since a revision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointChanges {
-    /// Revision from which to go on.
+    /// Revision after which the next watch begins.
     pub revision: u64,
-    /// In order.
+    /// The changes, oldest first.
     pub changes: Vec<EndpointChange>,
 }
 
-/// A record of the instances' own.
+/// A record that the instances keep for themselves, such as the group's membership or the
+/// registration of an instance with a disk.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct InternalRecord {
     /// Name of the record.
     pub name: String,
-    /// Its content.
+    /// Its content, opaque to the store.
     pub content: Bytes,
     /// Store revision of its last change.
     pub revision: u64,
 }
 
-/// An instance with a disk is to be emptied.
+/// An operator's order to move all data off an instance with a disk.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Retirement {
-    /// Name of the instance.
+    /// Name of the instance to retire.
     pub instance: String,
 }
 
 /// Progress of a retirement, for the operator.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RetirementState {
-    /// Its data is being copied.
+    /// Its data is being copied to other instances.
     InProgress,
-    /// It holds nothing that others lack.
+    /// It holds no data that other instances lack.
     Completed,
 }
 
-/// Result of a call of the store.
+/// The pending result of a call of the store.
 pub type StoreFuture<'a, T> = LocalBoxFuture<'a, Result<T, MetadataError>>;
 
-/// The platform's store. All reads are linearizable unless they say otherwise.
+/// The platform's metadata store. Reads are linearizable unless stated otherwise.
 pub trait MetadataStore {
-    /// The newest configuration.
+    /// Reads the newest configuration. Its content is left out if its revision is
+    /// `known_revision`.
     fn configuration(&self, known_revision: u64) -> StoreFuture<'_, ConfigurationRead>;
 
     /// Decodes a configuration that another instance read from the store.
     ///
     /// # Errors
     ///
-    /// If it cannot be read.
+    /// If `content` is not a valid configuration.
     fn decode_configuration(
         &self,
         content: &[u8],
     ) -> Result<Configuration, MetadataError>;
 
-    /// All endpoints.
+    /// Lists all registered endpoints.
     fn endpoints(&self) -> StoreFuture<'_, EndpointSnapshot>;
 
-    /// Waits up to `wait_ms` for changes of endpoints after a revision.
+    /// Waits up to `wait_ms` for changes of the endpoint registry after revision `after`.
     fn endpoint_changes(
         &self,
         after: u64,
         wait_ms: u64,
     ) -> StoreFuture<'_, EndpointChanges>;
 
-    /// Instances that are to be emptied.
+    /// Lists the instances that the operator wants to retire.
     fn retirements(&self) -> StoreFuture<'_, Vec<Retirement>>;
 
-    /// Tells the operator how far a retirement is.
+    /// Writes the progress of a retirement to where the operator reads it.
     fn report_retirement(
         &self,
         instance: String,
         state: RetirementState,
     ) -> StoreFuture<'_, ()>;
 
-    /// The instances' own records whose names begin with `prefix`. May be seconds old if
-    /// `allow_stale`, which costs less.
+    /// Lists the instances' internal records whose names begin with `prefix`. With
+    /// `allow_stale` the result may be seconds old, and the call is cheaper.
     fn internal_records(
         &self,
         prefix: &'static str,
         allow_stale: bool,
     ) -> StoreFuture<'_, Vec<InternalRecord>>;
 
-    /// Writes a record of the instances' own. `expected_revision` is its revision before; 0
-    /// if it must not exist, none for an unconditional write.
+    /// Writes an internal record if its revision is `expected_revision`, where 0 means that it
+    /// does not exist yet. Without an expected revision the write is unconditional.
     fn write_internal_record(
         &self,
         name: String,
--- a/crates/gateway/src/endpoint_view.rs
+++ b/crates/gateway/src/endpoint_view.rs
@@ -1,7 +1,8 @@
-//! Endpoints as one instance knows them, and what has changed since another one asked.
+//! One instance's replica of the endpoint registry, and the updates that it sends to others.
 //!
-//! Instances with disks follow the store and tell entry instances, so that not each of these
-//! needs a call of the store for every change.
+//! Members watch the registry in the store and pass the changes on to entry instances.
+//! Otherwise every entry instance would call the store for every change. An entry instance
+//! watches the store itself only while no member is up to date.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
@@ -12,80 +13,84 @@
     MetadataStore,
 };
 
-/// After the store is back, entries that are missing may come back for this time, in
-/// milliseconds; those that are still missing then are gone.
+/// Time for endpoints to register again after a store outage, in milliseconds. Entries that
+/// disappeared during the outage are kept that long and removed afterwards.
 const MISSING_GRACE_MS: u64 = 2_000;
 
-/// How long a watch of an entry instance waits for changes, in milliseconds: each is a call.
+/// How long a watch by an entry instance waits for changes, in milliseconds. Long, since
+/// each watch is a call of the store.
 pub(crate) const ENTRY_WATCH_MS: u64 = 2_500;
 
-/// How long a watch of a member waits for changes, in milliseconds. Entry instances rely on it,
-/// so that one which went silent must be noticed while a leaving endpoint need not be known.
+/// How long a watch by a member waits for changes, in milliseconds. Shorter than that of an
+/// entry instance: entry instances rely on the member, so a connection to the store that went
+/// silent must be noticed before the removal of an endpoint has to be known.
 pub(crate) const MEMBER_WATCH_MS: u64 = 800;
 
-/// Changes that come within this time are taken together, in milliseconds: each watch is a
-/// call, and a leaving endpoint must be known within two seconds.
+/// Pause between two watches, in milliseconds, so that the changes in this time are read with
+/// one call of the store. Short enough for a removed endpoint to be known within two seconds.
 pub(crate) const CHANGE_BATCH_MS: u64 = 500;
 
-/// A view that has not heard from the store for longer is not shared, in milliseconds: a watch,
-/// the pause between two, and the way there and back.
-const MOST_SHARED_AGE_MS: u64 = MEMBER_WATCH_MS + CHANGE_BATCH_MS + 200;
+/// Time since the last answer of the store after which a view sends no updates any more, in
+/// milliseconds: one watch, the pause after it, and 200 ms for the round trip.
+const MAX_SHARED_AGE_MS: u64 = MEMBER_WATCH_MS + CHANGE_BATCH_MS + 200;
 
-/// Changes that are kept for instances that ask, more than a release of all endpoints of a
-/// large service makes between two questions.
-const MOST_RECENT: usize = 256;
+/// Number of changes kept for incremental updates. Exceeds the changes between two requests of
+/// an entry instance while all endpoints of a large service are replaced by a new release.
+const MAX_RECENT_CHANGES: usize = 256;
 
-/// What one call of the store told.
+/// What one call of the store returned about the endpoint registry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointRead {
-    /// All endpoints.
+    /// All registered endpoints.
     Listed {
-        /// The endpoints.
+        /// The list.
         snapshot: EndpointSnapshot,
-        /// The store was followed without a gap until now. Otherwise it may have lost entries
-        /// of endpoints that are still there.
+        /// The store was reachable without interruption until this call. Otherwise entries of
+        /// endpoints that still run may have expired.
         was_connected: bool,
     },
-    /// Changes since the call before.
+    /// Changes since the previous call.
     Changed(EndpointChanges),
 }
 
-/// What a view tells another instance.
+/// An update that a view sends to another instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointUpdate {
-    /// Where to go on.
+    /// Position in the view from which the next update continues.
     pub cursor: EndpointCursor,
-    /// Store revision of the view.
+    /// Store revision that the view has reached.
     pub revision: u64,
-    /// `changes` are all endpoints, not just what has changed.
+    /// `changes` lists all endpoints, and not only what changed since the last update.
     pub is_complete: bool,
-    /// In order.
+    /// The changes, oldest first.
     pub changes: Vec<EndpointChange>,
 }
 
-/// All endpoints that one instance knows.
+/// All endpoints known to one instance, and the newest changes for other instances.
 #[derive(Debug, Default)]
 pub struct EndpointView {
     id: u64,
-    /// Number of the newest change.
+    /// Sequence number of the newest change.
     sequence: u64,
-    /// The newest changes, the last one with the number `sequence`.
-    recent: VecDeque<EndpointChange>,
+    /// The newest changes, oldest first. The last one has the number `sequence`.
+    recent_changes: VecDeque<EndpointChange>,
     revision: u64,
-    heard_ms: Option<u64>,
-    /// Until then entries may be missing that others know to be there or gone.
+    /// Time of the last answer of the store.
+    last_read_ms: Option<u64>,
+    /// Until this time the store may lack entries of endpoints that still run, so no updates
+    /// are sent.
     settled_at_ms: u64,
     entries: BTreeMap<String, EndpointEntry>,
-    /// Endpoints of `entries` whose entries went while the store was away, and when that was
-    /// noticed.
+    /// Endpoints whose entries disappeared during a store outage, and when that was noticed.
+    /// They stay in `entries` for [`MISSING_GRACE_MS`].
     missing_since_ms: HashMap<String, u64>,
-    /// Where the last news of another instance ended. None are known if the store told
-    /// something since: such news must be complete.
+    /// Where the last update from another instance ended. Reset by every read of the store, so
+    /// that the next update lists all endpoints.
     update_cursor: EndpointCursor,
 }
 
 impl EndpointView {
-    /// An empty view. `id` differs from that of other views.
+    /// An empty view. `id` must be unique among all views, past ones included.
     pub fn new(id: u64) -> EndpointView {
         EndpointView {
             id,
@@ -93,11 +98,12 @@
         }
     }
 
-    /// Takes what the store told. Returns what has changed by that.
+    /// Applies what was read from the store. Returns the resulting changes, among them the
+    /// removal of missing endpoints whose grace time is over.
     pub fn apply_read(&mut self, now_ms: u64, read: EndpointRead) -> Vec<EndpointChange> {
-        self.heard_ms = Some(now_ms);
+        self.last_read_ms = Some(now_ms);
         self.update_cursor = EndpointCursor::default();
-        let mut news = Vec::new();
+        let mut applied = Vec::new();
         match read {
             EndpointRead::Listed {
                 snapshot,
@@ -109,83 +115,83 @@
                 }
                 let entries = snapshot.entries.iter();
                 let listed = entries.map(|entry| entry.id.clone()).collect();
-                self.note_absent(now_ms, &listed, was_connected, &mut news);
+                self.handle_unlisted(now_ms, &listed, was_connected, &mut applied);
                 for entry in snapshot.entries {
-                    self.apply(EndpointChange::Present(entry), &mut news);
+                    self.apply(EndpointChange::Present(entry), &mut applied);
                 }
             }
             EndpointRead::Changed(changes) => {
                 self.revision = self.revision.max(changes.revision);
                 for change in changes.changes {
-                    self.apply(change, &mut news);
+                    self.apply(change, &mut applied);
                 }
             }
         }
-        news.extend(self.drop_missing(now_ms));
-        news
+        applied.extend(self.remove_expired(now_ms));
+        applied
     }
 
-    /// Takes what another instance told. Returns what has changed by that, or none if this view
-    /// is newer.
+    /// Applies an update from another instance. Returns the resulting changes, or None if this
+    /// view is newer.
     pub fn apply_update(
         &mut self,
         now_ms: u64,
-        told: EndpointUpdate,
+        update: EndpointUpdate,
     ) -> Option<Vec<EndpointChange>> {
-        if told.revision < self.revision {
+        if update.revision < self.revision {
             self.update_cursor = EndpointCursor::default();
             return None;
         }
-        self.revision = told.revision;
-        self.update_cursor = told.cursor;
-        let mut news = Vec::new();
-        if told.is_complete {
-            let listed = told.changes.iter().filter_map(|change| match change {
+        self.revision = update.revision;
+        self.update_cursor = update.cursor;
+        let mut applied = Vec::new();
+        if update.is_complete {
+            let listed = update.changes.iter().filter_map(|change| match change {
                 EndpointChange::Present(entry) => Some(entry.id.clone()),
                 EndpointChange::Gone(_) => None,
             });
-            self.note_absent(now_ms, &listed.collect(), true, &mut news);
+            self.handle_unlisted(now_ms, &listed.collect(), true, &mut applied);
         }
-        for change in told.changes {
-            self.apply(change, &mut news);
+        for change in update.changes {
+            self.apply(change, &mut applied);
         }
-        news.extend(self.drop_missing(now_ms));
-        Some(news)
+        applied.extend(self.remove_expired(now_ms));
+        Some(applied)
     }
 
-    /// Store revision up to which endpoints are known.
+    /// Store revision that this view has reached.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Where other instances should begin to tell.
+    /// Where the next update from another instance should begin.
     pub fn update_cursor(&self) -> EndpointCursor {
         self.update_cursor
     }
 
-    /// What another instance does not know yet, or none if the store has not been heard lately
-    /// or was lost shortly before.
+    /// The update for an instance whose last one ended at `known`. None if the store has not
+    /// answered recently, or if it came back so recently that endpoints may be missing.
     pub fn update_since(
         &mut self,
         now_ms: u64,
         known: EndpointCursor,
     ) -> Option<EndpointUpdate> {
-        let heard_ms = self.heard_ms?;
-        if heard_ms + MOST_SHARED_AGE_MS < now_ms || now_ms < self.settled_at_ms {
+        let last_read_ms = self.last_read_ms?;
+        if last_read_ms + MAX_SHARED_AGE_MS < now_ms || now_ms < self.settled_at_ms {
             return None;
         }
-        self.drop_missing(now_ms);
+        self.remove_expired(now_ms);
         let missed = usize::try_from(self.sequence.saturating_sub(known.sequence));
         let missed = missed.unwrap_or(usize::MAX);
-        let is_complete = known.view != self.id || missed > self.recent.len();
+        let is_complete = known.view != self.id || missed > self.recent_changes.len();
         let changes = match is_complete {
             true => {
                 let entries = self.entries.values().cloned();
                 entries.map(EndpointChange::Present).collect()
             }
             false => {
-                let known = self.recent.len() - missed;
-                self.recent.iter().skip(known).cloned().collect()
+                let known = self.recent_changes.len() - missed;
+                self.recent_changes.iter().skip(known).cloned().collect()
             }
         };
         Some(EndpointUpdate {
@@ -199,8 +205,9 @@
         })
     }
 
-    fn apply(&mut self, change: EndpointChange, news: &mut Vec<EndpointChange>) {
-        let is_new = match &change {
+    /// Applies one change. Adds it to `applied` if it made a difference.
+    fn apply(&mut self, change: EndpointChange, applied: &mut Vec<EndpointChange>) {
+        let is_effective = match &change {
             EndpointChange::Present(entry) => {
                 self.missing_since_ms.remove(&entry.id);
                 let before = self.entries.insert(entry.id.clone(), entry.clone());
@@ -211,30 +218,31 @@
                 self.entries.remove(id).is_some()
             }
         };
-        if is_new {
+        if is_effective {
             self.sequence += 1;
-            self.recent.push_back(change.clone());
-            if self.recent.len() > MOST_RECENT {
-                self.recent.pop_front();
+            self.recent_changes.push_back(change.clone());
+            if self.recent_changes.len() > MAX_RECENT_CHANGES {
+                self.recent_changes.pop_front();
             }
-            news.push(change);
+            applied.push(change);
         }
     }
 
-    /// Endpoints that are not listed are gone, or missing for a while if the store was away.
-    fn note_absent(
+    /// Handles the endpoints that a complete list lacks. They are removed, or counted as missing
+    /// if the store was unreachable before.
+    fn handle_unlisted(
         &mut self,
         now_ms: u64,
         listed: &HashSet<String>,
         was_connected: bool,
-        news: &mut Vec<EndpointChange>,
+        applied: &mut Vec<EndpointChange>,
     ) {
         let known = self.entries.keys();
         let absent: Vec<String> =
             known.filter(|id| !listed.contains(*id)).cloned().collect();
         for id in absent {
             match was_connected {
-                true => self.apply(EndpointChange::Gone(id), news),
+                true => self.apply(EndpointChange::Gone(id), applied),
                 false => {
                     self.missing_since_ms.entry(id).or_insert(now_ms);
                 }
@@ -242,48 +250,53 @@
         }
     }
 
-    fn drop_missing(&mut self, now_ms: u64) -> Vec<EndpointChange> {
+    /// Removes the missing endpoints whose grace time is over.
+    fn remove_expired(&mut self, now_ms: u64) -> Vec<EndpointChange> {
         let missing = self.missing_since_ms.iter();
-        let gone: Vec<String> = missing
+        let expired: Vec<String> = missing
             .filter(|(_, since_ms)| **since_ms + MISSING_GRACE_MS <= now_ms)
             .map(|(id, _)| id.clone())
             .collect();
-        let mut news = Vec::new();
-        for id in gone {
-            self.apply(EndpointChange::Gone(id), &mut news);
+        let mut applied = Vec::new();
+        for id in expired {
+            self.apply(EndpointChange::Gone(id), &mut applied);
         }
-        news
+        applied
     }
 }
 
-/// Follows the endpoints in the store, one call at a time.
+/// Reads the endpoint registry in the store: lists it once, then watches its changes.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointWatcher {
+    /// Revision after which the next watch begins. None if the next call lists all endpoints.
     after_revision: Option<u64>,
-    was_cut_off: bool,
+    /// The store may have been unreachable since the last list.
+    was_disconnected: bool,
 }
 
 impl EndpointWatcher {
-    /// A follower that knows nothing of the time before: the store may have been away then.
+    /// A watcher for an instance that did not watch the store before. The store may have been
+    /// unreachable then, so the first list doesn't count as connected.
     pub(crate) fn after_gap() -> EndpointWatcher {
         EndpointWatcher {
             after_revision: None,
-            was_cut_off: true,
+            was_disconnected: true,
         }
     }
 
-    /// The next call lists all endpoints: another instance told them until now. It had heard
-    /// from the store so lately that no entry can have lapsed since.
+    /// Makes the next call list all endpoints, after another instance provided them for a
+    /// while. That instance had read the store so recently that no entry can have expired
+    /// since, so the list counts as connected.
     pub(crate) fn restart(&mut self) {
         self.after_revision = None;
-        self.was_cut_off = false;
+        self.was_disconnected = false;
     }
 
-    /// Lists all endpoints, or waits up to `wait_ms` for changes of them.
+    /// Lists all endpoints, or waits up to `wait_ms` for changes since the previous call.
     ///
     /// # Errors
     ///
-    /// If the store does not answer. The next call lists all endpoints.
+    /// If the call of the store fails. The next call then lists all endpoints.
     pub(crate) async fn read(
         &mut self,
         store: &dyn MetadataStore,
@@ -295,7 +308,7 @@
         };
         if let Err(error) = &result {
             self.after_revision = None;
-            self.was_cut_off |= *error != MetadataError::HistoryLost;
+            self.was_disconnected |= *error != MetadataError::HistoryLost;
             log::info!("event=endpoints_reread reason={error:?}");
         }
         result
@@ -314,7 +327,7 @@
         self.after_revision = Some(snapshot.revision);
         Ok(EndpointRead::Listed {
             snapshot,
-            was_connected: !std::mem::take(&mut self.was_cut_off),
+            was_connected: !std::mem::take(&mut self.was_disconnected),
         })
     }
 
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,50 +1,51 @@
-//! Whole events of an event stream.
+//! Incremental parser that splits a server-sent event stream into complete events.
 //!
-//! Callers get the endpoint's bytes unchanged, and an endpoint may stop in the middle of an
-//! event, so the stream is cut at the blank lines that end events. Libraries for the format
-//! give the decoded events without their bytes.
+//! Callers receive the endpoint's bytes unchanged, and an endpoint may fail in the middle of
+//! an event, so the stream is split at the blank lines that end events. Libraries for this
+//! format return decoded events without the original bytes.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event that is buffered, in bytes. Events are a few hundred bytes; a stream that
-/// never ends one is not an event stream.
-const MOST_EVENT_BYTES: usize = 1 << 20;
+/// Largest incomplete event that is buffered, in bytes. Events are a few hundred bytes long;
+/// a response that exceeds this limit is not an event stream.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One event, as it came.
+/// One complete event.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StreamEvent {
-    /// The bytes, with the blank line at the end.
+    /// The bytes as received, including the blank line at the end.
     pub raw: Bytes,
-    /// Its identifier, if it has a number as such.
+    /// Its `id` field, if that is a number.
     pub id: Option<u64>,
-    /// Its data lines, joined by line feeds. None without a data line.
+    /// The values of its `data` fields, joined by line feeds. None without such a field.
     pub data: Option<Vec<u8>>,
 }
 
-/// Collects bytes until events are whole.
+/// Buffers the bytes of a stream until they form complete events.
 #[derive(Debug, Default)]
 pub struct EventReader {
     buffer: BytesMut,
 }
 
 impl EventReader {
-    /// Adds bytes. Returns the events that are now whole, or none if an event is too large.
+    /// Adds received bytes and returns the events completed by them. Returns None if the
+    /// incomplete event at the end exceeds 1 MiB.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Vec<StreamEvent>> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
         while let Some(length) = event_length(&self.buffer) {
             events.push(decode(self.buffer.split_to(length).freeze()));
         }
-        (self.buffer.len() <= MOST_EVENT_BYTES).then_some(events)
+        (self.buffer.len() <= MAX_EVENT_BYTES).then_some(events)
     }
 
-    /// Whether the bytes end with a whole event.
+    /// Whether the bytes received so far end with a complete event.
     pub fn is_at_boundary(&self) -> bool {
         self.buffer.is_empty()
     }
 }
 
-/// Length of the first event with the blank line that ends it.
+/// Length in bytes of the first complete event, including the blank line that ends it.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (index, _) in bytes.iter().enumerate().filter(|(_, byte)| **byte == b'\n') {
@@ -84,7 +85,7 @@
     StreamEvent { raw, id, data }
 }
 
-/// Name and value of a line, without the one space that may follow the colon.
+/// Name and value of a field line. The value lacks the optional space after the colon.
 fn field(line: &[u8]) -> Option<(&[u8], &[u8])> {
     let colon = line.iter().position(|byte| *byte == b':')?;
     let value = &line[colon + 1..];
--- a/crates/gateway/src/freshness.rs
+++ b/crates/gateway/src/freshness.rs
@@ -1,35 +1,38 @@
-//! Proof that the configuration in hand was recently the newest.
+//! Tracks when the configuration in use was last known to be the newest.
 //!
-//! A key may have been withdrawn since the last proof. A request is admitted only if it
-//! came less than the agreed time after the proof: then its key was still valid so shortly
-//! before that the request may run. A read that may be stale, or a watch that tells nothing,
-//! is no proof.
+//! A key may have been revoked since that time. A request is admitted only if it arrived
+//! within the agreed time after the last proof: its key was then valid so recently that the
+//! request may run. Only a linearizable read counts as proof; a stale read or a watch without
+//! events does not.
 
-/// The last proof.
+/// Time of the last proof that the configuration in use is the newest.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Freshness {
     proven_at_ms: Option<u64>,
 }
 
-/// What may pass between the caller's sending and the arrival, and in the precision of the
-/// clocks, in milliseconds: two ways between the farthest zones and one late timer.
-const MARGIN_MS: u64 = 150;
+/// Allowance for the time between the caller's sending and the arrival of a request, and for
+/// clock precision, in milliseconds: two network trips between the farthest zones and one late
+/// timer.
+const TRANSIT_MARGIN_MS: u64 = 150;
 
 impl Freshness {
-    /// The configuration was the newest when a read that returned it began.
+    /// Records that a linearizable read, begun at `read_began_ms`, returned the configuration in
+    /// use. Older reads than the last one are ignored.
     pub fn prove(&mut self, read_began_ms: u64) {
         self.proven_at_ms = self.proven_at_ms.max(Some(read_began_ms));
     }
 
-    /// Age of the proof in milliseconds, or none without one.
+    /// Age of the last proof, in milliseconds. None if there is none yet.
     pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
         let proven_at_ms = self.proven_at_ms?;
         Some(now_ms.saturating_sub(proven_at_ms))
     }
 
-    /// Whether requests with keys may be admitted.
+    /// Whether requests that need a key may be admitted. `revocation_ms` is the agreed time
+    /// within which a revoked key must stop working.
     pub fn admits(&self, now_ms: u64, revocation_ms: u64) -> bool {
         let age_ms = self.age_ms(now_ms);
-        age_ms.is_some_and(|age_ms| age_ms + MARGIN_MS < revocation_ms)
+        age_ms.is_some_and(|age_ms| age_ms + TRANSIT_MARGIN_MS < revocation_ms)
     }
 }
--- a/crates/gateway/src/http_connection.rs
+++ b/crates/gateway/src/http_connection.rs
@@ -1,4 +1,8 @@
-//! One HTTP/1.1 connection to another server.
+//! An HTTP/1.1 client connection, and socket options that detect silent connections.
+//!
+//! A connection can stop carrying data without a reset, for instance during a network
+//! partition. Keepalive probes detect this on an idle connection, the TCP user timeout while
+//! data is in flight.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,46 +18,49 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// An idle connection is probed after this time. Connections can go silent for good without
-/// a reset, and only a probe shows it.
+/// Idle time after which a connection is probed. A connection can go silent for good without a
+/// reset, which only a probe reveals.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 
-/// Time between probes.
+/// Time between two keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Probes without an answer after which the connection is closed.
+/// Number of unanswered keepalive probes after which the connection is closed.
 const KEEPALIVE_RETRIES: u32 = 2;
 
-/// Sent bytes that the other machine does not confirm for this long close the connection:
-/// many times the way between the farthest zones. A process that is only slow does not
-/// matter here, since its machine confirms for it.
-const UNCONFIRMED_TIMEOUT: Duration = Duration::from_millis(450);
+/// TCP user timeout: sent data that stays unacknowledged for this long closes the connection.
+/// Many times the latency between the farthest zones. A slow peer process doesn't trigger it,
+/// since the kernel of its machine acknowledges the data.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// The same for callers, who may read slowly: as long as they wait for an answer at most.
-const CALLER_UNCONFIRMED_TIMEOUT: Duration = Duration::from_secs(3);
+/// TCP user timeout for callers, who may read slowly: the longest time that they wait for an
+/// answer.
+const CALLER_UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A connection. Dropping it closes the socket at once.
+/// A client connection for one request at a time. Dropping it closes the socket at once.
+///
+/// Must be created on a `LocalSet`, on which it runs its I/O task.
 #[derive(Debug)]
 pub struct HttpConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
 }
 
-/// Why a request has no response.
+/// Why a request got no response.
 #[derive(Debug)]
 pub enum SendError {
-    /// No byte of it was sent.
+    /// No byte of the request was sent. Holds the reason.
     NotSent(String),
-    /// It may have arrived.
+    /// The request may have arrived. Holds the reason.
     Lost(String),
 }
 
 impl HttpConnection {
-    /// Connects.
+    /// Opens a connection to a server.
     ///
     /// # Errors
     ///
-    /// If the address refuses, or does not answer within `timeout_ms`.
+    /// If the connection is refused or not established within `timeout_ms`.
     pub async fn connect(
         address: SocketAddr,
         timeout_ms: u64,
@@ -74,16 +81,16 @@
         self.sender.is_ready() && !self.sender.is_closed()
     }
 
-    /// Whether the other side has closed it.
+    /// Whether the connection is closed and can't be used again.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Sends a request and waits for the head of its response.
+    /// Sends a request and waits for the response head.
     ///
     /// # Errors
     ///
-    /// If there is no response; tells whether the request can have arrived.
+    /// If there is no response. The error tells whether the request can have arrived.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -95,7 +102,7 @@
         })
     }
 
-    /// Closes the connection.
+    /// Closes the socket, also if a response is not complete.
     pub fn close(self) {}
 }
 
@@ -105,31 +112,31 @@
     }
 }
 
-/// Connects a socket that notices when the other side has gone silent.
+/// Opens a TCP connection that fails soon after the peer goes silent.
 ///
 /// # Errors
 ///
-/// If the address refuses, or does not answer within `timeout_ms`.
+/// If the connection is refused or not established within `timeout_ms`.
 pub async fn connect_tcp(address: SocketAddr, timeout_ms: u64) -> io::Result<TcpStream> {
     let connecting = TcpStream::connect(address);
     let timeout = Duration::from_millis(timeout_ms);
     let stream = tokio::time::timeout(timeout, connecting)
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    watch_silence(&stream, UNCONFIRMED_TIMEOUT)?;
+    set_silence_detection(&stream, UNACKNOWLEDGED_TIMEOUT)?;
     Ok(stream)
 }
 
-/// Sets the options by which the silent connection of a caller ends.
+/// Sets the socket options that close the connection of a caller that went silent.
 ///
 /// # Errors
 ///
-/// If the socket does not take them.
+/// If the operating system rejects an option.
 pub fn set_caller_timeouts(stream: &TcpStream) -> io::Result<()> {
-    watch_silence(stream, CALLER_UNCONFIRMED_TIMEOUT)
+    set_silence_detection(stream, CALLER_UNACKNOWLEDGED_TIMEOUT)
 }
 
-fn watch_silence(stream: &TcpStream, unconfirmed: Duration) -> io::Result<()> {
+fn set_silence_detection(stream: &TcpStream, user_timeout: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_IDLE)
@@ -137,5 +144,5 @@
         .with_retries(KEEPALIVE_RETRIES);
     let socket = SockRef::from(stream);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(unconfirmed))
+    socket.set_tcp_user_timeout(Some(user_timeout))
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,11 +1,14 @@
-//! Entry instances and instances with disks as small single-threaded processes.
+//! The two kinds of gateway process: entry instances and instances with a disk.
 //!
-//! An entry instance takes callers' requests and sends each to an endpoint; an instance
-//! with a disk keeps what must outlive processes (`jayreel-ledger`). Both run one event
-//! loop on one thread: they get a fraction of a core, and each wake-up costs.
+//! An entry instance accepts callers' requests and forwards each one to an endpoint. An
+//! instance with a disk stores the state that must survive process restarts
+//! (`jayreel-ledger`). The instances with a disk that vote on this state form the group, and
+//! each of them is a member of it; the others are spares. Both kinds of process run a single
+//! event loop on one thread, since they get a fraction of a core and each wake-up costs CPU
+//! time.
 //!
-//! What differs between platforms is behind two traits: [`MetadataStore`], the store that
-//! holds configuration, endpoints and the group's membership, and [`CallProtocol`], the
+//! Platform differences are behind two traits: [`MetadataStore`], the store of the
+//! configuration, the endpoint registry and the group record, and [`CallProtocol`], the
 //! headers that callers and endpoints use.
 
 mod backoff;
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -1,9 +1,9 @@
-//! Questions to an instance with a disk over one connection, many at a time.
+//! Multiplexed request-response connections to instances with a disk.
 //!
-//! Messages are length-delimited frames in postcard. capnp-rpc, which instances use among
-//! themselves elsewhere, sends each call and each release of its result as a message of its
-//! own; here many small questions share a write, which a process that pays for each system
-//! call needs.
+//! Messages are length-delimited frames encoded with postcard. capnp-rpc, which instances use
+//! among themselves elsewhere, sends each call and each release of a result as a message of its
+//! own. Here many small requests are combined into one write, since system calls are expensive
+//! for a process with a fraction of a core.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -25,24 +25,26 @@
 use crate::clock::now_ms;
 use crate::http_connection::connect_tcp;
 
-/// Largest frame, in bytes: a part of a book with one large turn.
-const MOST_FRAME_BYTES: usize = 12 << 20;
+/// Largest frame, in bytes. Sized for one part of a copy of the stored facts that contains one
+/// large turn.
+const MAX_FRAME_BYTES: usize = 12 << 20;
 
-/// Time for a connection, in milliseconds: several times the way between the farthest zones.
+/// Time to establish a connection, in milliseconds: several times the latency between the
+/// farthest zones.
 const CONNECT_TIMEOUT_MS: u64 = 250;
 
-/// After a failure no connection is tried for this time, in milliseconds, so that requests
-/// do not wait for an instance that is known to be away.
+/// Time after a failed connection attempt in which no other is made, in milliseconds, so that
+/// requests don't wait for an instance that is known to be unreachable.
 const RETRY_PAUSE_MS: u64 = 60;
 
-/// Why a question has no answer.
+/// Why a request to an instance with a disk got no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LinkError {
-    /// There is no connection.
+    /// No connection could be made, so the request was not sent.
     NotConnected,
-    /// No answer came in time.
+    /// No answer arrived in time. The request may have taken effect.
     TimedOut,
-    /// The connection broke.
+    /// The connection was lost. The request may have taken effect.
     Broken,
 }
 
@@ -56,13 +58,16 @@
     }
 }
 
-type Waiting = Rc<RefCell<HashMap<u64, oneshot::Sender<Answer>>>>;
+/// Senders for the answers that are awaited, by request id.
+type PendingAnswers = Rc<RefCell<HashMap<u64, oneshot::Sender<Answer>>>>;
 
 struct Connection {
     outgoing: mpsc::UnboundedSender<Request>,
-    waiting: Waiting,
-    heard_ms: Rc<Cell<u64>>,
+    pending: PendingAnswers,
+    /// Time of the last frame received, 0 before the first.
+    last_received_ms: Rc<Cell<u64>>,
     next_id: Cell<u64>,
+    /// The tasks that read and write the socket.
     tasks: [JoinHandle<()>; 2],
 }
 
@@ -77,10 +82,11 @@
 #[derive(Default)]
 struct State {
     connection: Option<Rc<Connection>>,
+    /// No connection attempt is made before this time.
     retry_at_ms: u64,
 }
 
-/// A connection to one instance that is made when it is needed.
+/// Client for one instance. Connects when the first request is made, and again after failures.
 pub(crate) struct Link {
     address: SocketAddr,
     state: Mutex<State>,
@@ -94,11 +100,12 @@
         }
     }
 
-    /// Asks a question.
+    /// Sends a request and waits for the answer.
     ///
     /// # Errors
     ///
-    /// If no answer came within `timeout_ms`. The question may have been acted on.
+    /// If no answer arrived within `timeout_ms`. The request may have taken effect, unless the
+    /// error is [`LinkError::NotConnected`].
     pub(crate) async fn ask(
         &self,
         group_version: u64,
@@ -109,8 +116,8 @@
         let (sender, receiver) = oneshot::channel();
         let id = connection.next_id.get();
         connection.next_id.set(id + 1);
-        connection.waiting.borrow_mut().insert(id, sender);
-        let asked_ms = now_ms();
+        connection.pending.borrow_mut().insert(id, sender);
+        let sent_ms = now_ms();
         let request = Request {
             id,
             group_version,
@@ -127,8 +134,9 @@
                 Err(LinkError::Broken)
             }
             Err(_) => {
-                connection.waiting.borrow_mut().remove(&id);
-                if connection.heard_ms.get() < asked_ms {
+                connection.pending.borrow_mut().remove(&id);
+                // Nothing at all was received since the request, so the connection is dead.
+                if connection.last_received_ms.get() < sent_ms {
                     self.abandon(&connection).await;
                 }
                 Err(LinkError::TimedOut)
@@ -136,6 +144,7 @@
         }
     }
 
+    /// The open connection, or a new one.
     async fn connection(&self) -> Result<Rc<Connection>, LinkError> {
         let mut state = self.state.lock().await;
         if let Some(connection) = &state.connection {
@@ -158,7 +167,8 @@
         }
     }
 
-    /// Forgets a connection that broke or went silent, if it is still the current one.
+    /// Drops a connection that was lost or went silent, if it is still the current one. All
+    /// requests that wait for an answer on it fail.
     async fn abandon(&self, connection: &Rc<Connection>) {
         let mut state = self.state.lock().await;
         let is_current = state
@@ -167,20 +177,21 @@
             .is_some_and(|current| Rc::ptr_eq(current, connection));
         if is_current {
             state.connection = None;
-            connection.waiting.borrow_mut().clear();
+            connection.pending.borrow_mut().clear();
         }
     }
 }
 
-/// An answer that is on its way.
+/// The pending answer to a request.
 pub type AnswerFuture = LocalBoxFuture<'static, Result<Answer, LinkError>>;
 
-/// Ways to instances with disks.
+/// Sends requests to instances with a disk. Tests replace it by a simulated group.
 pub trait MemberClient {
-    /// Asks a question in a version of the group. An asker that counts answers towards one
-    /// decision counts only those of one version.
+    /// Sends a request that is valid in one version of the group. A client that counts the
+    /// answers of a quorum must count only those given in the same version.
     ///
-    /// Fails if no answer came within `timeout_ms`; the question may have been acted on.
+    /// Fails if no answer arrived within `timeout_ms`. The request may have taken effect, unless
+    /// the error is [`LinkError::NotConnected`].
     fn ask(
         &self,
         member: &Member,
@@ -203,14 +214,14 @@
     }
 }
 
-/// Connections to instances with disks, by their names.
+/// The clients of all instances with a disk that were contacted so far, by name.
 #[derive(Default)]
 pub(crate) struct LinkPool {
     by_name: RefCell<HashMap<String, Rc<Link>>>,
 }
 
 impl LinkPool {
-    /// The connection to an instance. One that has moved to another address gets a new one.
+    /// The client of an instance. An instance whose address has changed gets a new one.
     pub(crate) fn to(&self, member: &Member) -> Rc<Link> {
         let mut links = self.by_name.borrow_mut();
         let known = links.get(&member.name);
@@ -225,17 +236,18 @@
     }
 }
 
+/// Starts the tasks that read and write a new connection.
 fn open(stream: TcpStream) -> Connection {
     let (read, write) = stream.into_split();
     let (outgoing, queue) = mpsc::unbounded_channel();
-    let waiting = Waiting::default();
-    let heard_ms = Rc::new(Cell::new(0));
-    let reader = read_replies(read, Rc::clone(&waiting), Rc::clone(&heard_ms));
+    let pending = PendingAnswers::default();
+    let last_received_ms = Rc::new(Cell::new(0));
+    let reader = read_replies(read, Rc::clone(&pending), Rc::clone(&last_received_ms));
     let writer = write_messages(write, queue);
     Connection {
         outgoing,
-        waiting,
-        heard_ms,
+        pending,
+        last_received_ms,
         next_id: Cell::new(1),
         tasks: [
             tokio::task::spawn_local(reader),
@@ -244,14 +256,19 @@
     }
 }
 
-async fn read_replies(read: OwnedReadHalf, waiting: Waiting, heard_ms: Rc<Cell<u64>>) {
+/// Hands each reply to the request that waits for it, until the connection ends.
+async fn read_replies(
+    read: OwnedReadHalf,
+    pending: PendingAnswers,
+    last_received_ms: Rc<Cell<u64>>,
+) {
     let mut frames = FramedRead::new(read, codec());
     while let Some(Ok(frame)) = frames.next().await {
-        heard_ms.set(now_ms());
+        last_received_ms.set(now_ms());
         match postcard::from_bytes::<Reply>(&frame) {
             Ok(reply) => {
-                let sender = waiting.borrow_mut().remove(&reply.id);
-                // An asker that gave up no longer waits; its answer is dropped.
+                let sender = pending.borrow_mut().remove(&reply.id);
+                // A request that timed out no longer waits, so its answer is dropped.
                 let _ = sender.map(|sender| sender.send(reply.answer));
             }
             Err(error) => {
@@ -260,10 +277,11 @@
             }
         }
     }
-    waiting.borrow_mut().clear();
+    pending.borrow_mut().clear();
 }
 
-/// Writes queued messages, as many at a time as are there.
+/// Writes queued messages until the queue or the connection closes. All messages that are
+/// queued at the same time share one flush.
 pub(crate) async fn write_messages<T: serde::Serialize>(
     write: OwnedWriteHalf,
     mut queue: mpsc::UnboundedReceiver<T>,
@@ -272,14 +290,14 @@
     while let Some(first) = queue.recv().await {
         let mut next = Some(first);
         while let Some(message) = next {
-            let fed = match postcard::to_stdvec(&message) {
+            let result = match postcard::to_stdvec(&message) {
                 Ok(content) => frames.feed(Bytes::from(content)).await,
                 Err(error) => {
                     log::warn!("event=message_unwritable reason={error:?}");
                     Ok(())
                 }
             };
-            if fed.is_err() {
+            if result.is_err() {
                 return;
             }
             next = queue.try_recv().ok();
@@ -290,22 +308,23 @@
     }
 }
 
+/// Framing of the messages in both directions.
 pub(crate) fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
-        .max_frame_length(MOST_FRAME_BYTES)
+        .max_frame_length(MAX_FRAME_BYTES)
         .new_codec()
 }
 
-/// Frames of a connection that another instance opened.
+/// The frames received on a connection that another instance opened.
 pub(crate) type Frames = FramedRead<OwnedReadHalf, LengthDelimitedCodec>;
 
-/// Splits a connection that another instance opened.
+/// Splits a connection that another instance opened into received frames and a write half.
 pub(crate) fn accept(stream: TcpStream) -> (Frames, OwnedWriteHalf) {
     let (read, write) = stream.into_split();
     (FramedRead::new(read, codec()), write)
 }
 
-/// Decodes a question.
+/// Decodes a request. None if the frame is not a valid one.
 pub(crate) fn decode_request(frame: &BytesMut) -> Option<Request> {
     postcard::from_bytes(frame).ok()
 }
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -1,56 +1,61 @@
-//! Who should belong to the group of instances with disks.
+//! Decides when the membership of the group should change.
 //!
-//! Spare instances propose themselves: in the place of a member that is to be emptied or has
-//! been silent for long, or where the group has room. A member that is to be emptied leaves
-//! by itself only if no spare takes its place. Each proposal is a conditional write of the
-//! group's record, so of two only one succeeds.
+//! Instances with a disk that are not members are spares. A spare proposes itself as a
+//! replacement for a member that is being retired or has not answered for a long time, or as
+//! an additional member if the group has room. A member that is being retired leaves on its
+//! own only if no spare replaces it. Each proposal is a conditional write of the group record,
+//! so only one of two concurrent proposals succeeds.
 
 use std::collections::HashMap;
 
 use jayreel_ledger::{Group, Member};
 
-/// Name of the record that holds the group.
+/// Name of the internal record that holds the group.
 pub(crate) const GROUP_RECORD: &str = "group";
 
-/// Names of the records of instances with disks begin with this.
+/// Prefix of the internal records in which instances with a disk register.
 pub(crate) const MEMBER_RECORD_PREFIX: &str = "storage/";
 
-/// A turn is decided within this time, in milliseconds, or not at all.
+/// Time limit for the decision of a turn, in milliseconds. A turn that is not decided by then
+/// never will be.
 pub(crate) const DECISION_TIMEOUT_MS: u64 = 1_000;
 
-/// An instance that lacks facts copies none for this time after its start, in milliseconds:
-/// turns that it answered before its disk was lost are decided by then.
+/// Time after its start before an instance that lacks facts begins to copy them from other
+/// members, in milliseconds. Turns that it voted on before it lost its disk are decided by
+/// then.
 pub(crate) const COPY_DELAY_MS: u64 = DECISION_TIMEOUT_MS + 500;
 
-/// A member that has been silent for this long is replaced if a spare is there, in
-/// milliseconds. Restarts and short outages are over by then, and replacing one costs a copy
-/// of all data.
-const SILENT_MS: u64 = 4_000;
+/// Time without an answer after which a spare replaces a member, in milliseconds. Restarts and
+/// short outages end sooner, and a replacement costs a copy of all data.
+const REPLACE_AFTER_MS: u64 = 4_000;
 
-/// A member that is to be emptied waits this long for a spare, in milliseconds.
+/// Time that a member being retired waits for a spare before it leaves without replacement, in
+/// milliseconds.
 const SPARE_WAIT_MS: u64 = 2_500;
 
-/// A change of the group.
+/// A change of the group that an instance proposes for itself.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum Proposal {
-    /// The instance joins, in the place of a member or of nobody.
+    /// The instance joins, as a replacement or as an additional member.
     Join {
-        /// The member that leaves.
+        /// Name of the member to replace, if any.
         leaving: Option<String>,
     },
-    /// The instance leaves, and nobody takes its place.
+    /// The instance leaves without a replacement.
     Leave,
 }
 
-/// What an instance knows about the others.
+/// What one instance observed about the members, as the basis for its proposals.
 #[derive(Debug, Default)]
 pub(crate) struct Watcher {
+    /// First of the consecutive requests without an answer, by name of the member.
     silent_since_ms: HashMap<String, u64>,
+    /// Since when this instance is a member that is being retired.
     retiring_since_ms: Option<u64>,
 }
 
 impl Watcher {
-    /// A member answered, or did not.
+    /// Records whether a member answered a status request.
     pub(crate) fn note(&mut self, now_ms: u64, name: &str, has_answered: bool) {
         match has_answered {
             true => {
@@ -63,10 +68,11 @@
         }
     }
 
-    /// The change that this instance should propose.
+    /// The change that the instance `me` should propose now, if any. `retiring` holds the names
+    /// of the instances being retired.
     ///
-    /// `voting` is the number of members that vote; without a quorum of them the group must
-    /// not change, since the next one copies its facts from a quorum.
+    /// `voting` is the number of members that vote. Without a quorum of them the group must not
+    /// change, since the members of the next group copy their facts from a quorum of this one.
     pub(crate) fn propose(
         &mut self,
         now_ms: u64,
@@ -87,7 +93,7 @@
             return None;
         }
         match (is_member, is_retiring) {
-            (false, false) => self.joining(now_ms, group, retiring),
+            (false, false) => self.propose_join(now_ms, group, retiring),
             (true, true) => {
                 let since_ms = self.retiring_since_ms.unwrap_or(now_ms);
                 let has_waited = now_ms >= since_ms + SPARE_WAIT_MS;
@@ -97,7 +103,7 @@
         }
     }
 
-    fn joining(
+    fn propose_join(
         &self,
         now_ms: u64,
         group: &Group,
@@ -119,6 +125,6 @@
 
     fn is_silent(&self, now_ms: u64, name: &str) -> bool {
         let since_ms = self.silent_since_ms.get(name);
-        since_ms.is_some_and(|since_ms| since_ms + SILENT_MS <= now_ms)
+        since_ms.is_some_and(|since_ms| since_ms + REPLACE_AFTER_MS <= now_ms)
     }
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, in the Prometheus text format.
+//! Metrics of an entry instance, exported in the Prometheus text format.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,12 +10,13 @@
 
 use crate::retry::Outcome;
 
-/// Upper bounds of latencies, in seconds: from an idle plain service to the longest timeout.
+/// Histogram buckets for latencies, in seconds: from a plain service without load up to the
+/// longest timeout.
 const LATENCY_BUCKETS_S: [f64; 12] = [
     0.005, 0.01, 0.02, 0.04, 0.08, 0.15, 0.25, 0.5, 1.0, 2.0, 3.0, 6.0,
 ];
 
-/// Metrics of one process.
+/// Metrics of one entry instance, and the number of its open connections and calls.
 pub(crate) struct Metrics {
     registry: Registry,
     first_byte_s: HistogramVec,
@@ -27,18 +28,18 @@
     open_calls: Rc<Cell<usize>>,
 }
 
-/// Counts something as open until it is dropped.
-pub(crate) struct Open(Rc<Cell<usize>>);
+/// Guard that counts a connection or call as open until it is dropped.
+pub(crate) struct OpenGuard(Rc<Cell<usize>>);
 
-impl Drop for Open {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-fn open(count: &Rc<Cell<usize>>) -> Open {
+fn open(count: &Rc<Cell<usize>>) -> OpenGuard {
     count.set(count.get() + 1);
-    Open(Rc::clone(count))
+    OpenGuard(Rc::clone(count))
 }
 
 fn histogram(name: &str, help: &str, labels: &[&str]) -> HistogramVec {
@@ -52,6 +53,7 @@
 }
 
 impl Metrics {
+    /// Creates and registers all metrics.
     pub(crate) fn new() -> Metrics {
         let first_byte_s = histogram(
             "jayreel_first_byte_seconds",
@@ -100,46 +102,55 @@
         }
     }
 
+    /// Records the head of an answer, `elapsed_ms` after the arrival of the request.
     pub(crate) fn answered(&self, route: &str, customer: &str, elapsed_ms: u64) {
         let histogram = self.first_byte_s.with_label_values(&[route, customer]);
         histogram.observe(elapsed_ms as f64 / 1_000.0);
     }
 
+    /// Records the end of a complete stream, `elapsed_ms` after the arrival of the request.
     pub(crate) fn streamed(&self, route: &str, elapsed_ms: u64) {
         let histogram = self.complete_s.with_label_values(&[route]);
         histogram.observe(elapsed_ms as f64 / 1_000.0);
     }
 
+    /// Counts a request that this instance answered itself. `reason` becomes a label.
     pub(crate) fn refused(&self, reason: &str) {
         self.refusals.with_label_values(&[reason]).inc();
     }
 
+    /// Counts a send without a usable answer. The label is the variant's name in lower case.
     pub(crate) fn endpoint_failed(&self, outcome: Outcome) {
         let outcome = format!("{outcome:?}").to_lowercase();
         self.failures.with_label_values(&[outcome.as_str()]).inc();
     }
 
+    /// Counts a stream that ended before it was complete.
     pub(crate) fn broken_off(&self) {
         self.broken.inc();
     }
 
-    pub(crate) fn open_connection(&self) -> Open {
+    /// Counts a caller's connection as open until the guard is dropped.
+    pub(crate) fn open_connection(&self) -> OpenGuard {
         open(&self.open_connections)
     }
 
-    pub(crate) fn open_call(&self) -> Open {
+    /// Counts a call as in progress until the guard is dropped.
+    pub(crate) fn open_call(&self) -> OpenGuard {
         open(&self.open_calls)
     }
 
+    /// Number of callers' connections that are open.
     pub(crate) fn open_connections(&self) -> usize {
         self.open_connections.get()
     }
 
+    /// Number of calls in progress.
     pub(crate) fn open_calls(&self) -> usize {
         self.open_calls.get()
     }
 
-    /// All metrics as text.
+    /// All metrics in the Prometheus text format. Empty if they can't be encoded.
     pub(crate) fn text(&self) -> String {
         let mut text = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut text) {
--- a/crates/gateway/src/presence.rs
+++ b/crates/gateway/src/presence.rs
@@ -1,47 +1,54 @@
-//! Which entry instances of an availability zone are in contact with it.
+//! Tracks which entry instances of an availability zone can reach the zone's member.
 //!
-//! Answers the pattern of a zone of which most entry instances are cut off, each alone. The balancer
-//! uses all instances of a zone of which fewer than half are ready, so most attempts of callers meet
-//! one that cannot serve. If the few that can are not ready either, the balancer sends the zone's
-//! callers to the nearest zones, where all are served.
+//! Guards against a partition that cuts off most entry instances of a zone one by one. The load
+//! balancer ignores readiness in a zone with fewer than half of its instances ready and uses
+//! all of them, so most attempts of callers would reach an instance that can't serve them. If
+//! the remaining instances report that they are not ready either, the load balancer sends the
+//! zone's callers to the nearest zones, where all requests are served.
 
 use std::collections::HashMap;
 
 use jayreel_ledger::ZonePresence;
 
-/// Pause between two messages of an entry instance to the member of its zone, in milliseconds.
+/// Interval between the presence messages of an entry instance to the member of its zone, in
+/// milliseconds.
 pub const PRESENCE_INTERVAL_MS: u64 = 400;
 
-/// An entry instance that has sent nothing for this time is away, in milliseconds: two messages
-/// are missing. Restarts take less.
-const AWAY_AFTER_MS: u64 = 1_200;
+/// Time without a message after which an entry instance counts as absent, in milliseconds: two
+/// messages are missing. A restart takes less.
+const ABSENT_AFTER_MS: u64 = 1_200;
 
-/// An entry instance that has sent nothing for this time has left for good, in milliseconds: twice
-/// the cuts that the users describe. Those that were replaced must not count for long.
-const FORGET_AFTER_MS: u64 = 30_000;
+/// Time without a message after which an entry instance counts as removed from the zone, in
+/// milliseconds: twice the duration of the partitions that the users describe. Instances that
+/// were replaced must not count as absent for long.
+const REMOVE_AFTER_MS: u64 = 30_000;
 
-/// What a member knows of the entry instances of its zone.
+/// The entry instances of one zone, as tracked by the zone's member.
 #[derive(Debug, Default)]
 pub struct PresenceTracker {
-    heard_ms: HashMap<String, u64>,
+    /// Time of the last message, by the name of the instance.
+    last_message_ms: HashMap<String, u64>,
 }
 
 impl PresenceTracker {
-    /// An entry instance sends a message. Returns how many there are.
+    /// Records a presence message of an entry instance. Returns the number of instances known and
+    /// present in the zone, this one included.
     pub fn record_message(&mut self, now_ms: u64, instance: &str) -> ZonePresence {
-        self.heard_ms.insert(instance.to_string(), now_ms);
-        self.heard_ms
-            .retain(|_, heard_ms| now_ms < *heard_ms + FORGET_AFTER_MS);
-        let times = self.heard_ms.values();
-        let present = times.filter(|heard_ms| now_ms < **heard_ms + AWAY_AFTER_MS);
+        self.last_message_ms.insert(instance.to_string(), now_ms);
+        self.last_message_ms
+            .retain(|_, last_message_ms| now_ms < *last_message_ms + REMOVE_AFTER_MS);
+        let times = self.last_message_ms.values();
+        let present =
+            times.filter(|last_message_ms| now_ms < **last_message_ms + ABSENT_AFTER_MS);
         ZonePresence {
-            known: u32::try_from(self.heard_ms.len()).unwrap_or(u32::MAX),
+            known: u32::try_from(self.last_message_ms.len()).unwrap_or(u32::MAX),
             present: u32::try_from(present.count()).unwrap_or(u32::MAX),
         }
     }
 }
 
-/// Whether callers of a zone are better served by other zones.
+/// Whether fewer than half of a zone's entry instances are present, so that its callers are
+/// better served in other zones.
 pub fn is_majority_absent(presence: ZonePresence) -> bool {
     presence.present.saturating_mul(2) < presence.known
 }
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -1,122 +1,127 @@
-//! What callers' requests and endpoints' answers say in their headers.
+//! Interface to the HTTP headers that callers and endpoints exchange with an entry instance.
+//!
+//! Header names and formats depend on the platform, which implements [`CallProtocol`].
 
 use hyper::HeaderMap;
 use hyper::http::request::Parts;
 
-/// Tokens reserved for a turn that does not tell how many it generates at most.
-const DEFAULT_MOST_TOKENS: u32 = 4_096;
+/// Number of tokens reserved for a turn whose request has no upper bound of generated tokens.
+const DEFAULT_RESERVED_TOKENS: u32 = 4_096;
 
-/// A request's head, decoded.
+/// The decoded head of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CallHead {
-    /// Identifier of this attempt of the caller.
+    /// Identifier that the caller gave to this attempt.
     pub request_id: String,
-    /// Host that the caller names, without a port.
+    /// Host that the request names, without a port.
     pub host: String,
-    /// How long the caller will wait, in milliseconds.
+    /// How long the caller will wait for the answer, in milliseconds. None if it set no limit.
     pub deadline_ms: Option<u64>,
-    /// The customer's key.
+    /// API key of the customer, if the request has one.
     pub key: Option<String>,
-    /// The caller has the events up to this one.
+    /// Last event that the caller received, if it resumes a stream.
     pub last_event_id: Option<u64>,
-    /// Most tokens that the request generates.
+    /// Upper bound of the tokens that the request generates, if it sets one.
     pub most_tokens: Option<u32>,
     /// The program of the request, if it belongs to one.
     pub program: Option<ProgramCall>,
-    /// The turn that this one continues.
+    /// Identifier of the turn that this one continues, if any.
     pub previous_turn: Option<String>,
 }
 
 impl CallHead {
-    /// Tokens to reserve for the request.
+    /// Number of tokens to reserve for the request.
     pub fn reserved_tokens(&self) -> u32 {
-        self.most_tokens.unwrap_or(DEFAULT_MOST_TOKENS)
+        self.most_tokens.unwrap_or(DEFAULT_RESERVED_TOKENS)
     }
 }
 
-/// The program to which a request belongs.
+/// What a request says about the program to which it belongs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProgramCall {
     /// The caller's identifier of the program.
     pub id: String,
-    /// Time left until the program should be finished, in milliseconds.
+    /// Time left until the program's deadline, in milliseconds. None without a deadline.
     pub time_left_ms: Option<u64>,
-    /// Tokens that all turns of the program may generate.
+    /// Upper bound of the tokens that all turns of the program together may generate.
     pub budget_tokens: Option<u64>,
 }
 
-/// A request that does not follow the protocol.
+/// Why a request is malformed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BadRequest {
-    /// It has no identifier, or none that can be forwarded.
+    /// It has no request identifier, or one that can't be forwarded.
     NoRequestId,
     /// It names no host.
     NoHost,
-    /// A header has a value that cannot be read.
+    /// The value of the header with this name can't be decoded.
     Unreadable(&'static str),
 }
 
-/// What an entry instance tells an endpoint in place of the caller.
+/// Values that an entry instance sends to an endpoint in addition to the caller's headers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointHeaders<'a> {
-    /// Identifier of the endpoint. Any other that listens there rejects the request.
+    /// Identifier of the intended endpoint. Another endpoint at the same address rejects the
+    /// request.
     pub endpoint_id: &'a str,
-    /// Customer that holds the caller's key.
+    /// Name of the customer that owns the caller's key, if the request needed one.
     pub customer: Option<&'a str>,
-    /// Time left, in milliseconds.
+    /// Time left for the request, in milliseconds.
     pub time_left_ms: u64,
-    /// 0 to 9, where 0 is the most urgent. Only for model engines.
+    /// Scheduling priority for model engines, from 0 (most urgent) to 9. None for other
+    /// services.
     pub priority: Option<u8>,
-    /// Event after which the answer goes on.
+    /// Event after which the endpoint continues a stream, if the stream is resumed.
     pub last_event_id: Option<u64>,
 }
 
-/// Requests at an endpoint as it tells.
+/// Load that an endpoint reports.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Load {
-    /// Requests that run.
+    /// Number of requests that are running.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of requests in its queue.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// Number of requests that can run at the same time.
     pub slots: u32,
 }
 
-/// What the head of an endpoint's answer says.
+/// The decoded head of an endpoint's response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointReply {
-    /// The request that it answers.
+    /// Identifier of the request that it answers, if it names one.
     pub request_id: Option<String>,
-    /// The endpoint has not run the request and never will.
+    /// The endpoint guarantees that it has not run the request and never will.
     pub has_not_run: bool,
-    /// It carries the endpoint's signature, which successes need.
+    /// It has the endpoint's signature. A successful response without one is not accepted.
     pub is_signed: bool,
-    /// Its body is encoded, so it is not what the endpoint made.
+    /// Its body has a content encoding, so it is not the one that the endpoint produced.
     pub is_encoded: bool,
-    /// Load after this request.
+    /// Load of the endpoint, including this request.
     pub load: Option<Load>,
 }
 
-/// Headers of callers and endpoints.
+/// Decodes and builds the headers of callers and endpoints on one platform.
 pub trait CallProtocol {
-    /// Decodes a caller's head.
+    /// Decodes the head of a caller's request.
     ///
     /// # Errors
     ///
-    /// If the request does not follow the protocol.
+    /// If the request is malformed.
     fn decode_call(&self, parts: &Parts) -> Result<CallHead, BadRequest>;
 
-    /// Headers for an endpoint: the caller's own without those that concern its connection
-    /// or belong to the system, and the system's.
+    /// Builds the request headers for an endpoint. They consist of the caller's headers, without
+    /// the connection-specific ones and those reserved for the system, and of `added`.
     fn endpoint_headers(
         &self,
         call: &HeaderMap,
         added: &EndpointHeaders<'_>,
     ) -> HeaderMap;
 
-    /// Decodes the head of an endpoint's answer.
+    /// Decodes the head of an endpoint's response.
     fn decode_reply(&self, headers: &HeaderMap) -> EndpointReply;
 
-    /// Headers for the caller: the endpoint's without those that concern its connection.
+    /// Builds the response headers for the caller from the endpoint's, without the
+    /// connection-specific ones.
     fn caller_headers(&self, reply: &HeaderMap) -> HeaderMap;
 }
--- a/crates/gateway/src/quota_buffer.rs
+++ b/crates/gateway/src/quota_buffer.rs
@@ -1,115 +1,121 @@
-//! Tokens of customers' rates that an entry instance holds.
+//! Local buffer of the quota tokens that an entry instance took in advance.
 //!
-//! Tokens are taken from the members of the group a little before they are needed, and lapse
-//! soon, so that what is handed out in a window is what is used in it.
+//! A request of a customer with a rate limit needs one token, which the members of the group
+//! grant. For customers with steady demand an entry instance requests tokens shortly before
+//! they are needed, so that most requests don't wait for a member. Unused tokens expire soon,
+//! so that nearly all tokens granted in a rate window are used in the same window.
 
 use std::collections::{HashMap, VecDeque};
 
-/// Tokens lapse after this time, in milliseconds. The sum over a window exceeds the limit by
-/// at most the rate in this time, which the agreed tolerance of a tenth of a 5 s window covers.
-const TOKEN_LIFE_MS: u64 = 450;
+/// Lifetime of a token, in milliseconds. A customer can exceed its limit in a window by at most
+/// the requests that its rate allows in this time. The agreed tolerance, a tenth of a 5 s
+/// window, covers that.
+const TOKEN_LIFETIME_MS: u64 = 450;
 
-/// Demand is averaged over this time, in milliseconds: a few times the life of tokens, so
-/// that a pause of a customer does not empty its stock.
+/// Time constant of the moving average of a customer's demand, in milliseconds: a few times the
+/// lifetime of tokens, so that its buffer is not left empty after a short pause.
 const DEMAND_WINDOW_MS: f64 = 1_500.0;
 
-/// A token that a request took from the stock.
+/// A token that a request took from the buffer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct BufferedToken {
-    /// When it lapses, in milliseconds.
+    /// Time at which it expires.
     expires_ms: u64,
 }
 
+/// The tokens and the demand of one customer.
 #[derive(Debug, Default)]
-struct Stock {
-    /// Expiry and number of tokens, oldest first. No entry has 0 tokens.
+struct CustomerBuffer {
+    /// Expiry time and number of tokens, oldest first. No entry has 0 tokens.
     tokens: VecDeque<(u64, u32)>,
+    /// Moving average of the requests per millisecond, as of `updated_ms`.
     demand_per_ms: f64,
     updated_ms: u64,
 }
 
-impl Stock {
-    fn note_demand(&mut self, now_ms: u64, requests: f64) {
+impl CustomerBuffer {
+    fn update_demand(&mut self, now_ms: u64, requests: f64) {
         let elapsed_ms = now_ms.saturating_sub(self.updated_ms) as f64;
         self.demand_per_ms *= (-elapsed_ms / DEMAND_WINDOW_MS).exp();
         self.demand_per_ms += requests / DEMAND_WINDOW_MS;
         self.updated_ms = now_ms;
     }
 
-    fn lapse(&mut self, now_ms: u64) {
+    fn remove_expired(&mut self, now_ms: u64) {
         self.tokens.retain(|(expires_ms, _)| *expires_ms > now_ms);
     }
 
-    fn held(&self) -> u32 {
+    fn token_count(&self) -> u32 {
         self.tokens.iter().map(|(_, count)| count).sum()
     }
 }
 
-/// Tokens of all customers.
+/// The buffered tokens of all customers.
 #[derive(Debug, Default)]
 pub struct QuotaBuffer {
-    stocks: HashMap<String, Stock>,
+    buffers: HashMap<String, CustomerBuffer>,
 }
 
 impl QuotaBuffer {
-    /// A request of a customer arrives and takes a token, if one is held.
+    /// Records a request of a customer and takes a token for it, if one is buffered.
     pub fn take(&mut self, now_ms: u64, customer: &str) -> Option<BufferedToken> {
-        let stock = self.stock(customer);
-        stock.note_demand(now_ms, 1.0);
-        stock.lapse(now_ms);
-        let (expires_ms, count) = stock.tokens.pop_front()?;
+        let buffer = self.buffer(customer);
+        buffer.update_demand(now_ms, 1.0);
+        buffer.remove_expired(now_ms);
+        let (expires_ms, count) = buffer.tokens.pop_front()?;
         if count > 1 {
-            stock.tokens.push_front((expires_ms, count - 1));
+            buffer.tokens.push_front((expires_ms, count - 1));
         }
         Some(BufferedToken { expires_ms })
     }
 
-    /// A request did not run, so it was no demand, and the token that it took from the stock
-    /// may serve another one. The token lapses when it would have.
+    /// Reverts `take` for a request that did not run. The request no longer counts as demand, and
+    /// the token that it took from the buffer, if any, may serve another one until it expires.
     pub fn refund_token(
         &mut self,
         now_ms: u64,
         customer: &str,
         token: Option<BufferedToken>,
     ) {
-        let stock = self.stock(customer);
-        stock.note_demand(now_ms, -1.0);
-        stock.demand_per_ms = stock.demand_per_ms.max(0.0);
+        let buffer = self.buffer(customer);
+        buffer.update_demand(now_ms, -1.0);
+        buffer.demand_per_ms = buffer.demand_per_ms.max(0.0);
         if let Some(token) = token {
-            stock.tokens.push_front((token.expires_ms, 1));
+            buffer.tokens.push_front((token.expires_ms, 1));
         }
     }
 
-    /// Adds tokens that were asked for at `asked_ms`.
+    /// Adds tokens granted by a member. Their lifetime counts from the request at `asked_ms`.
     pub fn add(&mut self, asked_ms: u64, customer: &str, count: u32) {
         if count > 0 {
-            let expires_ms = asked_ms + TOKEN_LIFE_MS;
-            self.stock(customer).tokens.push_back((expires_ms, count));
+            let expires_ms = asked_ms + TOKEN_LIFETIME_MS;
+            self.buffer(customer).tokens.push_back((expires_ms, count));
         }
     }
 
-    /// How many tokens to ask for in advance, to last for `ahead_ms`.
+    /// Number of tokens to request from members for each customer, so that the buffer lasts for
+    /// `ahead_ms`. Drops the buffers of customers without recent demand.
     pub fn tokens_to_request(
         &mut self,
         now_ms: u64,
         ahead_ms: u64,
     ) -> Vec<(String, u32)> {
-        self.stocks.retain(|_, stock| {
-            stock.note_demand(now_ms, 0.0);
-            stock.lapse(now_ms);
-            stock.demand_per_ms * DEMAND_WINDOW_MS > 0.05
+        self.buffers.retain(|_, buffer| {
+            buffer.update_demand(now_ms, 0.0);
+            buffer.remove_expired(now_ms);
+            buffer.demand_per_ms * DEMAND_WINDOW_MS > 0.05
         });
-        let stocks = self.stocks.iter();
-        stocks
-            .filter_map(|(customer, stock)| {
-                let needed = (stock.demand_per_ms * ahead_ms as f64).floor() as u32;
-                let missing = needed.saturating_sub(stock.held());
+        let buffers = self.buffers.iter();
+        buffers
+            .filter_map(|(customer, buffer)| {
+                let needed = (buffer.demand_per_ms * ahead_ms as f64).floor() as u32;
+                let missing = needed.saturating_sub(buffer.token_count());
                 (missing > 0).then(|| (customer.clone(), missing))
             })
             .collect()
     }
 
-    fn stock(&mut self, customer: &str) -> &mut Stock {
-        self.stocks.entry(customer.to_string()).or_default()
+    fn buffer(&mut self, customer: &str) -> &mut CustomerBuffer {
+        self.buffers.entry(customer.to_string()).or_default()
     }
 }
--- a/crates/gateway/src/retry.rs
+++ b/crates/gateway/src/retry.rs
@@ -1,69 +1,73 @@
-//! What follows when an endpoint gives no final answer.
+//! Decides whether a request is sent to another endpoint after a failed send.
+//!
+//! A request that must run at most once is sent again only if no earlier send can have run.
 
 use crate::config::CallKind;
 
-/// Connections that could not be made do not count as attempts, but their number is
-/// limited: after this many, other callers' requests tell which endpoints are there.
-const MOST_UNSENT: u32 = 3;
+/// Upper bound of the sends that reached no endpoint or the wrong one. They don't count as
+/// attempts. After this many the request is given up; the requests of other callers reveal which
+/// endpoints can be reached.
+const MAX_UNDELIVERED: u32 = 3;
 
-/// A send that may be repeated is given up after this many times the route's target, if
-/// another endpoint is left to try: workers lose answers and hang, and say nothing then.
-const PATIENCE_TARGETS: u64 = 4;
+/// Response timeout of a send that may be repeated, as a multiple of the route's target latency.
+/// It applies while another attempt is left. Workers can lose an answer or hang without closing
+/// the connection.
+const TIMEOUT_TARGETS: u64 = 4;
 
-/// Shortest time after which a send is given up, in milliseconds, so that a short queue does
-/// not look like a lost answer.
-const LEAST_PATIENCE_MS: u64 = 300;
+/// Lower bound of that timeout, in milliseconds, so that a short queue is not taken for a lost
+/// answer.
+const MIN_TIMEOUT_MS: u64 = 300;
 
-/// What became of one send.
+/// Result of one send without a usable answer. The lower-case names are metric labels.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// No byte can have reached an endpoint.
+    /// No byte of the request was sent.
     NotSent,
-    /// Another endpoint listens at the address. It has not run the request.
+    /// A different endpoint listens at the address. It has not run the request.
     Misdirected,
-    /// The endpoint says that it has not run the request and never will.
+    /// The endpoint guarantees that it has not run the request and never will.
     Rejected,
     /// The request was sent and has no usable answer. It may have run.
     Unknown,
-    /// The endpoint answered that it failed.
+    /// The endpoint reported that it failed. The request may have run.
     Failed,
 }
 
-/// What to do next.
+/// What to do with a request after a failed send.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Send it to another endpoint.
+    /// Send the request to another endpoint.
     SendAgain,
-    /// Tell the caller that it has not run.
+    /// Refuse the request, which guarantees to the caller that it has not run.
     RefuseNotRun,
-    /// Tell the caller that it may have run.
+    /// Fail the request and tell the caller that it may have run.
     FailUnknown,
-    /// Hand the endpoint's failure to the caller.
+    /// Forward the endpoint's error response to the caller.
     ForwardFailure,
 }
 
-/// Limits of one request.
+/// Limits on the sends of one request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RetryPolicy {
-    /// What may be repeated.
+    /// Whether the request may run again.
     pub kind: CallKind,
-    /// Endpoints to which it may be sent.
+    /// Number of endpoints to which it may be sent.
     pub max_attempts: u32,
 }
 
 /// The sends of one request so far.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Attempt {
-    /// Sends that reached the endpoint asked for.
+    /// Number of sends that may have reached the intended endpoint.
     pub sent: u32,
-    /// Sends that did not.
+    /// Number of sends that did not reach it.
     pub unsent: u32,
-    /// One of the sends may have run.
+    /// At least one of the sends may have run.
     pub may_have_run: bool,
 }
 
 impl Attempt {
-    /// How long to wait for the head of an answer, in milliseconds.
+    /// How long to wait for the response head of the next send, in milliseconds.
     pub fn response_timeout_ms(
         &self,
         policy: RetryPolicy,
@@ -74,13 +78,13 @@
         match is_last || !policy.kind.may_run_again() {
             true => time_left_ms,
             false => {
-                let response_timeout_ms = PATIENCE_TARGETS * target_ms;
-                response_timeout_ms.max(LEAST_PATIENCE_MS).min(time_left_ms)
+                let response_timeout_ms = TIMEOUT_TARGETS * target_ms;
+                response_timeout_ms.max(MIN_TIMEOUT_MS).min(time_left_ms)
             }
         }
     }
 
-    /// Records an outcome and decides the next step.
+    /// Records the outcome of a send and decides the next step.
     pub fn next(&mut self, policy: RetryPolicy, outcome: Outcome) -> Step {
         match outcome {
             Outcome::NotSent | Outcome::Misdirected => self.unsent += 1,
@@ -90,7 +94,8 @@
                 self.may_have_run = true;
             }
         }
-        let has_attempts = self.sent < policy.max_attempts && self.unsent < MOST_UNSENT;
+        let has_attempts =
+            self.sent < policy.max_attempts && self.unsent < MAX_UNDELIVERED;
         let may_repeat = !self.may_have_run || policy.kind.may_run_again();
         match outcome {
             _ if has_attempts && may_repeat => Step::SendAgain,
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,57 +1,59 @@
-//! What a process knows from its settings.
+//! Settings of a process, as validated at its start.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use jayreel_ledger::RateTolerance;
 
-/// Settings of one instance, checked.
+/// Validated settings of one instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
     /// Name of the instance, unique in the installation.
     pub name: String,
     /// Its availability zone.
     pub availability_zone: String,
-    /// Where callers connect. Only entry instances have it.
+    /// Address on which callers connect. None on an instance with a disk.
     pub front: Option<SocketAddr>,
-    /// Where the balancer asks whether the instance is ready. Only entry instances have it.
+    /// Address of the readiness check for the load balancer. None on an instance with a disk.
     pub ready: Option<SocketAddr>,
-    /// Where other instances connect.
+    /// Address on which other instances connect.
     pub internal: SocketAddr,
-    /// Where other instances are told to connect: `internal`, unless something stands between.
+    /// Address that other instances are told to connect to. The same as `internal`,
+    /// unless an intermediary forwards the connections.
     pub advertised: SocketAddr,
-    /// Where metrics are read.
+    /// Address on which metrics are served.
     pub metrics: SocketAddr,
-    /// Folder for data that outlives the process. Only instances with a disk have it.
+    /// Directory for data that must survive restarts. None on an entry instance.
     pub data_dir: Option<PathBuf>,
-    /// The whole system starts for the first time, so an empty disk has lost nothing.
+    /// The whole installation starts for the first time, so an empty disk doesn't mean data loss.
     pub is_first_start: bool,
     /// Address of the metadata store.
     pub store: SocketAddr,
-    /// How many disks may be lost at once.
+    /// Number of disks that may be lost at the same time without loss of data.
     pub tolerated_losses: usize,
-    /// Limits of the process.
+    /// Resource limits of the process.
     pub limits: ProcessLimits,
-    /// Times that were agreed with operators and callers.
+    /// Guarantees given to operators and callers.
     pub bounds: Bounds,
 }
 
-/// What the process may use.
+/// Resources that the process may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProcessLimits {
-    /// Disk, in megabytes. 0 without a disk.
+    /// Disk space, in megabytes. 0 on an instance without a disk.
     pub disk_mb: u64,
 }
 
-/// Times that were agreed with operators and callers.
+/// Time limits and tolerances agreed with operators and callers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// A changed configuration is in force after this time.
+    /// Time after which a changed configuration must be in force, in milliseconds.
     pub configuration_ms: u64,
-    /// A request that was sent this long after its key was withdrawn does not run.
+    /// Time after which a revoked key must be rejected, in milliseconds, counted from the
+    /// revocation to the sending of the request.
     pub revocation_ms: u64,
-    /// How customers' rates are judged.
+    /// Window and slack with which customers' rates are checked.
     pub rate_tolerance: RateTolerance,
-    /// A planned stop is over after this time.
+    /// Time within which a planned shutdown must be complete, in milliseconds.
     pub stop_ms: u64,
 }
--- a/crates/gateway/src/urgency.rs
+++ b/crates/gateway/src/urgency.rs
@@ -1,33 +1,35 @@
-//! How urgent a turn is for a model engine.
+//! Priority of a turn at a model engine, derived from its program's deadline.
 //!
-//! Answers the pattern of a burst in which engines have more turns than slots: if each
-//! program waits a little at each turn, all of them end late. Engines admit the more urgent
-//! first, so turns of programs that have little time left go first, those of programs that
-//! are late already go last, and of two alike the one of the more urgent route.
+//! In a burst, engines have more turns than slots. If every program waited a little at each
+//! turn, all of them would miss their deadlines. Engines admit turns by priority, so programs
+//! with little time left go first, and programs that are already late go last. Among programs
+//! with similar time left, the one on the more urgent route goes first.
 
-/// Priority of a program whose time is over. Its result is late whatever happens.
+/// Priority of a turn whose program has missed its deadline. Its result is late in any case.
 const LATE: u8 = 9;
 
-/// Priority of a turn without a program's deadline.
-const UNKNOWN: u8 = 5;
+/// Priority of a turn without a program or with a program that has no deadline.
+const NO_DEADLINE: u8 = 5;
 
-/// Time left, in milliseconds, up to which a program has each of the priorities 1, 3, 5 and
-/// 7 on a route that is not the most urgent: about one, two, four and eight turns.
-const STEPS_MS: [u64; 3] = [600, 1_500, 4_000];
+/// Thresholds of the time left, in milliseconds, that separate the four priority levels: 1, 3, 5
+/// and 7 on a route of lower urgency, one less on the most urgent one. The levels stand for
+/// about one, two, four and eight turns that are left.
+const LEVEL_THRESHOLDS_MS: [u64; 3] = [600, 1_500, 4_000];
 
-/// Priority for the engine, 0 to 9, where 0 is the most urgent. `rank` is that of the route
-/// or the customer, where 0 is the most urgent.
+/// Priority that a turn gets at the engine, from 0 (most urgent) to 9. `rank` is the configured
+/// priority of the customer or route, of which 0 is the most urgent and all others are treated
+/// alike. `time_left_ms` is the time until the program's deadline, if it has one.
 pub fn engine_priority(rank: u8, time_left_ms: Option<u64>) -> u8 {
     let Some(time_left_ms) = time_left_ms else {
-        return UNKNOWN;
+        return NO_DEADLINE;
     };
     if time_left_ms == 0 {
         return LATE;
     }
-    let step = STEPS_MS
+    let level = LEVEL_THRESHOLDS_MS
         .iter()
-        .filter(|step_ms| time_left_ms > **step_ms)
+        .filter(|threshold_ms| time_left_ms > **threshold_ms)
         .count();
     let less_urgent = u8::from(rank > 0);
-    u8::try_from(2 * step).unwrap_or(LATE) + less_urgent
+    u8::try_from(2 * level).unwrap_or(LATE) + less_urgent
 }
