--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -64,17 +64,19 @@
 
 /// Load per slot above which an endpoint counts as overloaded. The queue of an endpoint is
 /// three times its slots.
-const OVERLOAD: f64 = 3.5;
+const OVERLOAD_THRESHOLD: f64 = 3.5;
 
+/// What this instance knows about one run of an endpoint.
 #[derive(Debug)]
 struct Endpoint {
     entry: EndpointEntry,
     /// Requests of this instance that are in flight.
-    own: u32,
+    own_requests: u32,
     /// Requests of other instances as of `reported_ms`.
-    others: f64,
+    other_requests: f64,
     reported_ms: u64,
     consecutive_failures: u32,
+    /// Until this time the endpoint is chosen only without an alternative.
     paused_until_ms: u64,
     /// No connection could be made, and none has been made since.
     is_suspended: bool,
@@ -142,8 +144,8 @@
         let id = entry.id.clone();
         let key = self.endpoints.insert(Endpoint {
             entry,
-            own: 0,
-            others: 0.0,
+            own_requests: 0,
+            other_requests: 0.0,
             reported_ms: 0,
             consecutive_failures: 0,
             paused_until_ms: 0,
@@ -229,20 +231,20 @@
         let mut usable = self.endpoints.values().filter(|endpoint| {
             endpoint.entry.service == service && !endpoint.entry.is_draining
         });
-        usable.all(|endpoint| endpoint.load(now_ms) > OVERLOAD)
+        usable.all(|endpoint| endpoint.load(now_ms) > OVERLOAD_THRESHOLD)
     }
 
     /// Counts a request as in flight at an endpoint.
     pub fn begin(&mut self, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.own += 1;
+            endpoint.own_requests += 1;
         }
     }
 
-    /// Ends the count that `begin` started, whatever the outcome of the request.
+    /// Counts a request as finished, whatever its outcome. Called once for each `begin`.
     pub fn end(&mut self, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.own = endpoint.own.saturating_sub(1);
+            endpoint.own_requests = endpoint.own_requests.saturating_sub(1);
         }
     }
 
@@ -251,7 +253,7 @@
     pub fn report(&mut self, now_ms: u64, key: EndpointKey, load: Load) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             let total = f64::from(load.running + load.waiting);
-            endpoint.others = (total - f64::from(endpoint.own)).max(0.0);
+            endpoint.other_requests = (total - f64::from(endpoint.own_requests)).max(0.0);
             endpoint.reported_ms = now_ms;
         }
     }
@@ -283,12 +285,13 @@
         }
     }
 
-    /// Records that the endpoint rejected a request without running it. It then counts as
-    /// overloaded.
+    /// Records that the endpoint rejected a request without running it. Its estimated load is
+    /// raised at least to the overload threshold.
     pub fn reject(&mut self, now_ms: u64, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             let slots = f64::from(endpoint.entry.slots);
-            endpoint.others = endpoint.others.max(slots * OVERLOAD);
+            endpoint.other_requests =
+                endpoint.other_requests.max(slots * OVERLOAD_THRESHOLD);
             endpoint.reported_ms = now_ms;
         }
     }
@@ -323,9 +326,9 @@
     /// Estimated number of requests, running and waiting, per slot.
     fn load(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.reported_ms) as f64;
-        let others =
-            self.others * (-age_ms / OTHERS_HALF_LIFE_MS * std::f64::consts::LN_2).exp();
-        (f64::from(self.own) + others) / f64::from(self.entry.slots)
+        let other_requests = self.other_requests
+            * (-age_ms / OTHERS_HALF_LIFE_MS * std::f64::consts::LN_2).exp();
+        (f64::from(self.own_requests) + other_requests) / f64::from(self.entry.slots)
     }
 
     /// Updates the error rate with the outcome of one request.
@@ -338,11 +341,13 @@
         self.error_rate_ms = now_ms;
     }
 
+    /// The error rate, decayed to `now_ms`.
     fn error_rate_at(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.error_rate_ms) as f64;
         self.error_rate * (-age_ms / ERROR_DECAY_MS).exp()
     }
 
+    /// The slowness, decayed to `now_ms`. At least 1, so a fast endpoint gets no bonus.
     fn slowness_at(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.slowness_ms) as f64;
         let weight = (-age_ms / SLOWNESS_DECAY_MS).exp();
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -9,7 +9,7 @@
 pub struct Configuration {
     /// Version number assigned by the operator.
     pub version: u64,
-    /// All routes of all hosts, in no particular order. Looked up with [`Configuration::route`].
+    /// All routes of all hosts. Looked up with [`Configuration::route`].
     pub routes: Vec<Route>,
     /// Services by name.
     pub services: HashMap<String, Service>,
--- a/crates/gateway/src/endpoint_view.rs
+++ b/crates/gateway/src/endpoint_view.rs
@@ -90,7 +90,7 @@
 }
 
 impl EndpointView {
-    /// An empty view. `id` must be unique among all views, past ones included.
+    /// An empty view. `id` must differ from that of every other view, earlier ones included.
     pub fn new(id: u64) -> EndpointView {
         EndpointView {
             id,
@@ -314,6 +314,7 @@
         result
     }
 
+    /// Lists all endpoints. The next call watches for changes after the list.
     async fn list(
         &mut self,
         store: &dyn MetadataStore,
@@ -331,6 +332,7 @@
         })
     }
 
+    /// Waits up to `wait_ms` for changes after revision `after`.
     async fn wait_for_changes(
         &mut self,
         store: &dyn MetadataStore,
--- a/crates/gateway/src/log_queue.rs
+++ b/crates/gateway/src/log_queue.rs
@@ -93,6 +93,7 @@
         .fold(first, |text, line| text + &line)
 }
 
+/// Body of the log thread. Ends when the last handle to the queue is dropped.
 fn write_lines(mut output: impl Write, queue: &Receiver<String>, dropped: &AtomicU64) {
     while let Ok(first) = queue.recv() {
         let mut text = batch_lines(first, queue.try_iter());
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -48,7 +48,8 @@
 /// What one instance observed about the members, as the basis for its proposals.
 #[derive(Debug, Default)]
 pub(crate) struct Watcher {
-    /// First of the consecutive requests without an answer, by name of the member.
+    /// When a member's unanswered requests in a row began, by its name. No entry for members that
+    /// answered last time.
     silent_since_ms: HashMap<String, u64>,
     /// Since when this instance is a member that is being retired.
     retiring_since_ms: Option<u64>,
@@ -103,6 +104,7 @@
         }
     }
 
+    /// The proposal of a spare. A member being retired is replaced before a silent one.
     fn propose_join(
         &self,
         now_ms: u64,
@@ -123,6 +125,7 @@
         }
     }
 
+    /// Whether a member has given no answer for [`REPLACE_AFTER_MS`].
     fn is_silent(&self, now_ms: u64, name: &str) -> bool {
         let since_ms = self.silent_since_ms.get(name);
         since_ms.is_some_and(|since_ms| since_ms + REPLACE_AFTER_MS <= now_ms)
--- a/crates/gateway/src/quota_buffer.rs
+++ b/crates/gateway/src/quota_buffer.rs
@@ -34,6 +34,7 @@
 }
 
 impl CustomerBuffer {
+    /// Decays the demand to `now_ms` and adds a number of requests to it.
     fn update_demand(&mut self, now_ms: u64, requests: f64) {
         let elapsed_ms = now_ms.saturating_sub(self.updated_ms) as f64;
         self.demand_per_ms *= (-elapsed_ms / DEMAND_WINDOW_MS).exp();
@@ -45,6 +46,7 @@
         self.tokens.retain(|(expires_ms, _)| *expires_ms > now_ms);
     }
 
+    /// Number of buffered tokens, including those that expired since `remove_expired`.
     fn token_count(&self) -> u32 {
         self.tokens.iter().map(|(_, count)| count).sum()
     }
--- a/crates/gateway/src/retry.rs
+++ b/crates/gateway/src/retry.rs
@@ -18,7 +18,8 @@
 /// answer.
 const MIN_TIMEOUT_MS: u64 = 300;
 
-/// Result of one send without a usable answer. The lower-case names are metric labels.
+/// Result of one send without a usable answer. The variant names, in lower
+/// case, are values of a metric label.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
     /// No byte of the request was sent.
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,11 +1,11 @@
-//! Settings of a process, as validated at its start.
+//! Settings of a process, after the platform has parsed and checked them.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use jayreel_ledger::RateTolerance;
 
-/// Validated settings of one instance.
+/// Settings of one instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
     /// Name of the instance, unique in the installation.
