--- a/crates/gateway/src/edge/admission.rs
+++ b/crates/gateway/src/edge/admission.rs
@@ -1,4 +1,5 @@
-//! Whether a request may run: its route, its customer, what it needs that is there.
+//! Checks that a request must pass before it is sent: route, API key, available endpoints,
+//! contact with the storage group, and body.
 
 use std::time::Duration;
 
@@ -13,16 +14,17 @@
 use crate::clock::now_ms;
 use crate::config::{CallKind, Configuration, Customer, Route};
 use crate::edge::Edge;
-use crate::edge::call::{NO_ENDPOINT_RETRY_MS, NO_ROOM_RETRY_MS};
+use crate::edge::call::{NO_CAPACITY_RETRY_AFTER_MS, NO_ENDPOINT_RETRY_AFTER_MS};
 use crate::edge::refusal::Refusal;
 use crate::protocol::CallHead;
 
-/// Retry-After while the configuration is too old though members answer, in milliseconds: the
-/// store is down for all, probably for longer than a read takes.
-const STALE_RETRY_MS: u64 = 500;
+/// Retry-After while the configuration is stale although a quorum of members answers, in
+/// milliseconds. The metadata store is then down for all instances, probably for longer than
+/// one read takes.
+const STALE_RETRY_AFTER_MS: u64 = 500;
 
-/// The token that a request needs.
-pub(crate) fn quota_want(
+/// Describes the rate-limit token that a request needs.
+pub(crate) fn quota_request(
     edge: &Edge,
     route: &Route,
     call: &CallHead,
@@ -52,17 +54,18 @@
     }
 }
 
-/// The configuration is missing or too old. An instance that has lost the group as well is cut
-/// off, or has just started.
-fn configuration_old(edge: &Edge) -> Refusal {
+/// Refusal for a missing or stale configuration. If there is no quorum either, this instance is
+/// cut off or has just started, and Retry-After depends on which.
+fn stale_configuration(edge: &Edge) -> Refusal {
     let retry_ms = match edge.members.contact().has_quorum(now_ms()) {
-        true => STALE_RETRY_MS,
+        true => STALE_RETRY_AFTER_MS,
         false => edge.members.retry_ms(),
     };
-    Refusal::not_now("configuration_old", retry_ms)
+    Refusal::retry_later("configuration_old", retry_ms)
 }
 
-/// The route of a request.
+/// Finds the route of a request. Status 404 is returned only while the configuration is recent:
+/// an older one may lack a new route.
 pub(crate) fn find_route<'a>(
     edge: &Edge,
     configuration: &'a Configuration,
@@ -74,11 +77,15 @@
         None if edge.is_configuration_recent() => {
             Err(Refusal::denied(StatusCode::NOT_FOUND, "no_route"))
         }
-        None => Err(configuration_old(edge)),
+        None => Err(stale_configuration(edge)),
     }
 }
 
-/// The customer that holds the caller's key, unless the route is open to all.
+/// Finds the customer that the caller's API key belongs to. `None` if the route is public or no
+/// customers are configured.
+///
+/// The key is accepted only if the configuration was confirmed within the revocation bound.
+/// Status 401 is returned only while it is recent: an older one may lack a new key.
 pub(crate) fn find_customer(
     edge: &Edge,
     configuration: &Configuration,
@@ -93,16 +100,16 @@
     let is_fresh = edge.freshness.borrow().admits(arrived_ms, revocation_ms);
     let key = call.key.as_deref();
     match key.and_then(|key| configuration.customer_of(key)) {
-        _ if !is_fresh => Err(configuration_old(edge).moving_on()),
+        _ if !is_fresh => Err(stale_configuration(edge).closing_connection()),
         Some((name, customer)) => Ok(Some((name.to_string(), customer))),
         None if edge.is_configuration_recent() => {
             Err(Refusal::denied(StatusCode::UNAUTHORIZED, "unknown_key"))
         }
-        None => Err(configuration_old(edge)),
+        None => Err(stale_configuration(edge)),
     }
 }
 
-/// A service of the route, at random by the shares.
+/// Chooses one of the route's services at random, in proportion to the weights.
 pub(crate) fn choose_service(route: &Route) -> String {
     let total: u32 = route.services.iter().map(|share| share.weight).sum();
     let mut point = rand::rng().random_range(0..total.max(1));
@@ -115,19 +122,24 @@
     route.services[0].service.clone()
 }
 
-/// Refuses at once what no endpoint can take.
+/// Refuses a request early if its service has no endpoint, or all its endpoints are overloaded.
 pub(crate) fn check_endpoints(edge: &Edge, service: &str) -> Result<(), Refusal> {
     let balancer = edge.balancer.borrow();
     match balancer.serves(service) {
-        false => Err(Refusal::not_now("no_endpoint", NO_ENDPOINT_RETRY_MS)),
-        true if balancer.is_overloaded(now_ms(), service) => {
-            Err(Refusal::not_now("overloaded", NO_ROOM_RETRY_MS))
-        }
+        false => Err(Refusal::retry_later(
+            "no_endpoint",
+            NO_ENDPOINT_RETRY_AFTER_MS,
+        )),
+        true if balancer.is_overloaded(now_ms(), service) => Err(Refusal::retry_later(
+            "overloaded",
+            NO_CAPACITY_RETRY_AFTER_MS,
+        )),
         true => Ok(()),
     }
 }
 
-/// Refuses at once what needs the group while it is not in contact.
+/// Refuses a request early if it needs the storage group and the contact with it is lost. Budgets
+/// and kept turns need a quorum; a rate-limit token needs one member.
 pub(crate) fn check_group(
     edge: &Edge,
     route: &Route,
@@ -144,27 +156,29 @@
     let now_ms = now_ms();
     match (needs_quorum, needs_quota) {
         (true, _) if !contact.has_quorum(now_ms) => {
-            Err(Refusal::not_now("group_lost", edge.members.retry_ms()).moving_on())
+            Err(Refusal::retry_later("group_lost", edge.members.retry_ms())
+                .closing_connection())
         }
         (false, true) if !contact.has_member(now_ms) => {
-            Err(Refusal::not_now("group_lost", edge.members.retry_ms()).moving_on())
+            Err(Refusal::retry_later("group_lost", edge.members.retry_ms())
+                .closing_connection())
         }
         _ => Ok(()),
     }
 }
 
-/// The whole body, within the limits for callers.
+/// Reads the whole body, within the size limit of the configuration and `timeout_ms`.
 pub(crate) async fn read_body(
     configuration: &Configuration,
     body: Incoming,
-    limit_ms: u64,
+    timeout_ms: u64,
 ) -> Result<Bytes, Refusal> {
     if hyper::body::Body::is_end_stream(&body) {
         return Ok(Bytes::new());
     }
     let limited = Limited::new(body, configuration.limits.body_bytes);
     let reading =
-        tokio::time::timeout(Duration::from_millis(limit_ms), limited.collect());
+        tokio::time::timeout(Duration::from_millis(timeout_ms), limited.collect());
     match reading.await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => Err(
--- a/crates/gateway/src/edge/body.rs
+++ b/crates/gateway/src/edge/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Bodies of responses to callers.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -7,53 +7,54 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// The answer broke off. The connection closes without the end of the body.
+/// The endpoint's stream ended early. The caller's connection is then closed before the end of
+/// the body, so that the caller does not take the body for complete.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct BrokenOff;
+pub struct BodyInterrupted;
 
-impl std::fmt::Display for BrokenOff {
+impl std::fmt::Display for BodyInterrupted {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the answer broke off")
+        f.write_str("the response body was interrupted")
     }
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for BodyInterrupted {}
 
-/// A piece of a streamed body.
+/// An item of a streamed body.
 #[derive(Debug)]
-pub(crate) enum Piece {
-    /// Bytes for the caller.
-    Content(Bytes),
-    /// The body is complete.
+pub(crate) enum BodyChunk {
+    /// Bytes to send to the caller.
+    Data(Bytes),
+    /// The body is complete. Without it, the caller gets an interrupted body.
     End,
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub(crate) enum CallBody {
-    /// All bytes are there.
+    /// All bytes are known. `None` for an empty body, or once they have been sent.
     Whole(Option<Bytes>),
-    /// Bytes come as the endpoint makes them. If the channel closes before `Piece::End`, the
-    /// body has broken off.
-    Streamed(mpsc::Receiver<Piece>),
+    /// Bytes are forwarded as the endpoint sends them. If the channel closes before
+    /// `BodyChunk::End`, the body ends with an error.
+    Streamed(mpsc::Receiver<BodyChunk>),
 }
 
 impl Body for CallBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = BodyInterrupted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyInterrupted>>> {
         let next = match self.get_mut() {
             CallBody::Whole(content) => {
                 content.take().map(|content| Ok(Frame::data(content)))
             }
-            CallBody::Streamed(pieces) => match ready!(pieces.poll_recv(context)) {
-                Some(Piece::Content(content)) => Some(Ok(Frame::data(content))),
-                Some(Piece::End) => None,
-                None => Some(Err(BrokenOff)),
+            CallBody::Streamed(chunks) => match ready!(chunks.poll_recv(context)) {
+                Some(BodyChunk::Data(content)) => Some(Ok(Frame::data(content))),
+                Some(BodyChunk::End) => None,
+                None => Some(Err(BodyInterrupted)),
             },
         };
         Poll::Ready(next)
--- a/crates/gateway/src/edge/call.rs
+++ b/crates/gateway/src/edge/call.rs
@@ -1,4 +1,5 @@
-//! The way of one request: who asks, whether it may run, where it runs, what follows.
+//! Handles one request from arrival to response: admission, choice of an endpoint, retries,
+//! and the preparation of a turn (its prompt and its token reservation).
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,83 +16,93 @@
 use crate::clock::now_ms;
 use crate::config::{CallKind, Route};
 use crate::edge::admission::{
-    check_endpoints, check_group, choose_service, find_customer, find_route, quota_want,
-    read_body,
+    check_endpoints, check_group, choose_service, find_customer, find_route,
+    quota_request, read_body,
 };
 use crate::edge::body::CallBody;
-use crate::edge::exchange::{Answered, Outgoing, SendTimes, send};
+use crate::edge::exchange::{EndpointResponse, OutgoingRequest, SendTimeouts, send};
 use crate::edge::members::ChainLookup;
-use crate::edge::refusal::{Ran, Refusal};
-use crate::edge::stream::{self, BudgetHold, StreamCall};
-use crate::edge::turn_cache::prompt;
-use crate::edge::{CallSummary, Edge, Unanswered};
+use crate::edge::refusal::Refusal;
+use crate::edge::stream::{self, BudgetReservation, StreamCall};
+use crate::edge::turn_cache::build_prompt;
+use crate::edge::{DisconnectLogger, Edge, RequestLogFields};
 use crate::protocol::CallHead;
 use crate::quota_stock::StockToken;
 use crate::retry::{Attempt, Outcome, RetryPolicy, Step};
 use crate::urgency::engine_priority;
 
-/// With less time than this, in milliseconds, a request is not sent: an idle endpoint needs
-/// about as long for the shortest requests.
-const LEAST_TIME_MS: u64 = 10;
+/// A request with less time left than this, in milliseconds, is not sent: an idle endpoint
+/// needs about this long for the shortest requests.
+const MIN_SEND_TIME_MS: u64 = 10;
 
-/// Retry-After while the group has no quorum, in milliseconds: its members are asked again
-/// that soon after a failure.
-const NO_QUORUM_RETRY_MS: u64 = 300;
+/// Retry-After while the storage group has no quorum, in milliseconds: the members are asked
+/// again about this soon after a failure.
+const NO_QUORUM_RETRY_AFTER_MS: u64 = 300;
 
-/// Retry-After while no endpoint has room, in milliseconds: about the length of a request.
-pub(crate) const NO_ROOM_RETRY_MS: u64 = 250;
+/// Retry-After while all endpoints are at capacity, in milliseconds: about the duration of one
+/// request.
+pub(crate) const NO_CAPACITY_RETRY_AFTER_MS: u64 = 250;
 
-/// Retry-After while no endpoint can be reached, in milliseconds: the first pause of one that
-/// failed.
-pub(crate) const NO_ENDPOINT_RETRY_MS: u64 = 250;
+/// Retry-After while no endpoint is available, in milliseconds: the first pause
+/// after an endpoint has failed.
+pub(crate) const NO_ENDPOINT_RETRY_AFTER_MS: u64 = 250;
 
-/// Turns and the records of their programs are kept for longer than operators ask, in
-/// milliseconds, since clocks differ and a turn may be used while it runs out.
+/// Turns are kept for this much longer than the route's retention, in milliseconds: clocks
+/// differ between machines, and a turn may expire while a request still uses it.
 const RETENTION_MARGIN_MS: u64 = 60_000;
 
-/// Turns that are asked for first. A conversation whose callers come through two zones in turn
-/// misses one or two here, and holds the older ones.
-const FIRST_TURNS: u32 = 2;
+/// Number of turns in the first request for a conversation's history. If callers alternate
+/// between two zones, this instance lacks only the last one or two turns and has the older ones
+/// in its cache.
+const FIRST_FETCH_TURNS: u32 = 2;
 
-/// Turns that are asked for once more are missing: more than most conversations have.
-const MOST_TURNS: u32 = 256;
+/// Number of turns in each further request: more than most conversations have.
+const MAX_FETCH_TURNS: u32 = 256;
 
-/// Size of an answer of a plain service that is held to be handed over whole, in bytes.
-const MOST_ANSWER_BYTES: usize = 16 << 20;
+/// Largest response of a service without streaming, in bytes. It is buffered completely before
+/// it is sent to the caller.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Part of the connections that an endpoint accepts from all callers that one instance keeps
-/// idle, and the least number: instances do not know how many they are.
-const IDLE_PART: usize = 32;
-const LEAST_IDLE: usize = 2;
+/// An instance keeps up to 1/32 of the connections that an endpoint accepts as idle
+/// connections. The fraction is fixed since instances do not know how many of them share the
+/// endpoint.
+const IDLE_CONNECTION_DIVISOR: usize = 32;
 
-/// A request that may run, with all that its sends need.
-pub(crate) struct Admitted {
+/// Idle connections kept to each endpoint in addition to that fraction.
+const MIN_IDLE_CONNECTIONS: usize = 2;
+
+/// A request that passed admission, with everything needed to send it to endpoints.
+pub(crate) struct AdmittedCall {
     pub route: Route,
     pub service: String,
     pub call: CallHead,
-    pub outgoing: Outgoing,
+    pub outgoing: OutgoingRequest,
     pub arrived_ms: u64,
-    /// Time from the arrival within which it must be answered, in milliseconds.
-    pub limit_ms: u64,
-    /// The token of its customer's rate, if it was held here.
+    /// Time limit, in milliseconds from the arrival: the caller's deadline or the route's
+    /// timeout, whichever is shorter.
+    pub timeout_ms: u64,
+    /// The customer's rate-limit token that the request consumed. `None` if no token was needed
+    /// or a member granted it directly.
     pub token: Option<StockToken>,
+    /// Model tokens that each event of the response stands for; charged to the budget.
     pub event_tokens: u32,
-    /// The endpoint that it was sent to last, for the log.
+    /// The endpoint to which it was last sent, for the log line if the caller disconnects.
     pub endpoint: Rc<RefCell<Option<String>>>,
 }
 
-impl Admitted {
+impl AdmittedCall {
+    /// 0 once the time limit has passed.
     pub(crate) fn time_left_ms(&self) -> u64 {
         let elapsed_ms = now_ms().saturating_sub(self.arrived_ms);
-        self.limit_ms.saturating_sub(elapsed_ms)
+        self.timeout_ms.saturating_sub(elapsed_ms)
     }
 
-    pub(crate) fn send_times(&self, attempt: &Attempt) -> SendTimes {
-        let left_ms = self.time_left_ms();
+    pub(crate) fn send_timeouts(&self, attempt: &Attempt) -> SendTimeouts {
+        let time_left_ms = self.time_left_ms();
         let target_ms = self.route.target_ms;
-        SendTimes {
-            left_ms,
-            patience_ms: attempt.patience_ms(self.policy(), target_ms, left_ms),
+        SendTimeouts {
+            time_left_ms,
+            head_timeout_ms: attempt.patience_ms(self.policy(), target_ms, time_left_ms),
         }
     }
 
@@ -110,8 +121,8 @@
     }
 }
 
-/// Answers one request.
-pub(crate) async fn serve(
+/// Handles one request of a caller. Errors become responses too.
+pub(crate) async fn handle_request(
     edge: Rc<Edge>,
     request: Request<Incoming>,
 ) -> Response<CallBody> {
@@ -126,17 +137,17 @@
         }
     };
     let endpoint = Rc::default();
-    let unanswered = Unanswered {
-        about: CallSummary::new(&edge, &call, arrived_ms),
+    let disconnect_logger = DisconnectLogger {
+        request: RequestLogFields::new(&edge, &call, arrived_ms),
         endpoint: Rc::clone(&endpoint),
-        is_answered: false,
+        is_disarmed: false,
     };
-    let answer = admit_and_run(&edge, call, &parts, body, arrived_ms, endpoint).await;
-    let response = answer.unwrap_or_else(|refusal| {
-        edge.note_refusal(&unanswered.about, &refusal);
+    let result = admit_and_run(&edge, call, &parts, body, arrived_ms, endpoint).await;
+    let response = result.unwrap_or_else(|refusal| {
+        edge.log_refusal(&disconnect_logger.request, &refusal);
         refusal.response()
     });
-    unanswered.close();
+    disconnect_logger.disarm();
     response
 }
 
@@ -156,143 +167,154 @@
     }
 }
 
-/// Checks whether a request may run. What is known at once is checked before its body is
-/// read, and its customer's rate last.
+/// Checks whether a request may run. Checks on local state come before the body is read. The
+/// rate limit comes last, since it consumes a token.
 async fn admit(
     edge: &Rc<Edge>,
     call: CallHead,
     parts: &Parts,
     body: Incoming,
     arrived_ms: u64,
-) -> Result<Admitted, Refusal> {
+) -> Result<AdmittedCall, Refusal> {
     let configuration = edge.configuration();
     let route = find_route(edge, &configuration, &call, parts)?.clone();
     let customer = find_customer(edge, &configuration, &route, &call, arrived_ms)?;
-    let limit_ms = call.deadline_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
+    let timeout_ms = call.deadline_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
     let service = choose_service(&route);
     check_endpoints(edge, &service)?;
     check_group(edge, &route, &call, customer.is_some())?;
-    let body = read_body(&configuration, body, limit_ms).await?;
+    let body = read_body(&configuration, body, timeout_ms).await?;
     let token = match &customer {
         Some((name, customer)) => {
-            let want = quota_want(edge, &route, &call, name, customer);
+            let want = quota_request(edge, &route, &call, name, customer);
             edge.take_quota(want, configuration.version).await?
         }
         None => None,
     };
     let settings = configuration.services.get(&service);
     let engine = settings.and_then(|service| service.engine);
-    let most_connections = settings.map_or(0, |service| service.max_connections);
+    let max_connections = settings.map_or(0, |service| service.max_connections);
     let priority = customer
         .as_ref()
         .and_then(|(_, customer)| customer.priority);
     let rank = priority.unwrap_or(route.priority);
-    Ok(Admitted {
+    Ok(AdmittedCall {
         service,
-        outgoing: Outgoing {
+        outgoing: OutgoingRequest {
             method: parts.method.clone(),
             uri: origin_form(parts),
             headers: parts.headers.clone(),
             body,
             request_id: call.request_id.clone(),
             customer: customer.map(|(name, _)| name),
-            priority: engine.map(|_| engine_priority(rank, time_left_ms(&call))),
-            most_idle: most_connections / IDLE_PART + LEAST_IDLE,
+            priority: engine.map(|_| engine_priority(rank, program_time_left_ms(&call))),
+            max_idle: max_connections / IDLE_CONNECTION_DIVISOR + MIN_IDLE_CONNECTIONS,
         },
         route,
         call,
         arrived_ms,
-        limit_ms,
+        timeout_ms,
         token,
         event_tokens: engine.map_or(1, |engine| engine.event_tokens),
         endpoint: Rc::default(),
     })
 }
 
-/// Time that the program of a request has left, in milliseconds.
-fn time_left_ms(call: &CallHead) -> Option<u64> {
+/// Time left until the deadline of the request's program, in milliseconds. `None` without a
+/// program or a deadline.
+fn program_time_left_ms(call: &CallHead) -> Option<u64> {
     call.program.as_ref()?.time_left_ms
 }
 
-/// The target of the request as an endpoint gets it: path and query as the caller sent them.
+/// The request target in origin form: the path and query as the caller sent them.
 fn origin_form(parts: &Parts) -> hyper::Uri {
     let target = parts.uri.path_and_query().cloned();
     target.map_or_else(|| parts.uri.clone(), hyper::Uri::from)
 }
 
-/// Runs a request of a plain service. The answer is handed over whole.
+/// Runs a request without streaming. The response is buffered completely, so if it breaks
+/// off, the request can be sent to another endpoint where the route allows that.
 async fn run_plain(
     edge: &Rc<Edge>,
-    admitted: &Admitted,
+    admitted: &AdmittedCall,
 ) -> Result<Response<CallBody>, Refusal> {
     let mut attempt = Attempt::default();
     let mut tried = Vec::new();
     loop {
         let pick = pick_endpoint(edge, admitted, &attempt, &tried)?;
         tried.push(pick.id.clone());
-        let times = admitted.send_times(&attempt);
+        let timeouts = admitted.send_timeouts(&attempt);
         let sent_ms = now_ms();
-        let answered = send(edge, &pick, &admitted.outgoing, None, times).await;
-        let outcome = match answered {
-            Ok(answered) => match collect(edge, admitted, answered).await {
-                Some(answer) => {
-                    let is_failure = answer.status().is_server_error();
-                    edge.endpoint_answered(&pick, answer.status(), now_ms() - sent_ms);
+        let upstream = send(edge, &pick, &admitted.outgoing, None, timeouts).await;
+        let outcome = match upstream {
+            Ok(upstream) => match collect_response(edge, admitted, upstream).await {
+                Some(complete) => {
+                    let is_failure = complete.status().is_server_error();
+                    edge.record_endpoint_response(
+                        &pick,
+                        complete.status(),
+                        now_ms() - sent_ms,
+                    );
                     if !is_failure || !may_try_another(admitted, attempt) {
-                        edge.note_answer(admitted, &pick, answer.status());
-                        return Ok(answer);
+                        edge.record_response(admitted, &pick, complete.status());
+                        return Ok(complete);
                     }
                     Outcome::Failed
                 }
                 None => {
                     let outgoing = &admitted.outgoing;
-                    edge.endpoint_failed(&pick, outgoing, Outcome::Unknown, "broken off")
+                    edge.record_endpoint_failure(
+                        &pick,
+                        outgoing,
+                        Outcome::Unknown,
+                        "response body broke off",
+                    )
                 }
             },
             Err(outcome) => outcome,
         };
         match attempt.next(admitted.policy(), outcome) {
             Step::SendAgain => {}
-            step => return Err(refusal_after(admitted, step)),
+            step => return Err(final_refusal(admitted, step)),
         }
     }
 }
 
-/// Whether an endpoint's own failure is worth another send.
-fn may_try_another(admitted: &Admitted, mut attempt: Attempt) -> bool {
+/// Whether a 5xx response of an endpoint should be retried at another one.
+fn may_try_another(admitted: &AdmittedCall, mut attempt: Attempt) -> bool {
     attempt.next(admitted.policy(), Outcome::Failed) == Step::SendAgain
-        && admitted.time_left_ms() > 2 * LEAST_TIME_MS
+        && admitted.time_left_ms() > 2 * MIN_SEND_TIME_MS
 }
 
-/// The whole answer, or none if it broke off.
-async fn collect(
+/// Reads the whole response. `None` if it breaks off, is too large or takes too long.
+async fn collect_response(
     edge: &Edge,
-    admitted: &Admitted,
-    answered: Answered,
+    admitted: &AdmittedCall,
+    upstream: EndpointResponse,
 ) -> Option<Response<CallBody>> {
     let time_left = Duration::from_millis(admitted.time_left_ms());
-    let limited = Limited::new(answered.body, MOST_ANSWER_BYTES);
+    let limited = Limited::new(upstream.body, MAX_RESPONSE_BYTES);
     let collected = tokio::time::timeout(time_left, limited.collect()).await;
     let content = collected.ok()?.ok()?.to_bytes();
-    let headers = edge.protocol.caller_headers(&answered.headers);
-    answered.lease.finish();
+    let headers = edge.protocol.caller_headers(&upstream.headers);
+    upstream.connection.release();
     let mut response = Response::new(CallBody::Whole(Some(content)));
-    *response.status_mut() = answered.status;
+    *response.status_mut() = upstream.status;
     *response.headers_mut() = headers;
     Some(response)
 }
 
-/// Picks an endpoint, or says why the request is over.
+/// Picks an endpoint that is not in `tried`, or returns the final response for the caller.
 pub(crate) fn pick_endpoint(
     edge: &Edge,
-    admitted: &Admitted,
+    admitted: &AdmittedCall,
     attempt: &Attempt,
     tried: &[String],
 ) -> Result<Pick, Refusal> {
-    if admitted.time_left_ms() < LEAST_TIME_MS {
+    if admitted.time_left_ms() < MIN_SEND_TIME_MS {
         return Err(match attempt.may_have_run {
-            true => Refusal::unknown(StatusCode::GATEWAY_TIMEOUT, "timed_out"),
-            false => Refusal::not_now("timed_out", NO_ROOM_RETRY_MS),
+            true => Refusal::outcome_unknown(StatusCode::GATEWAY_TIMEOUT, "timed_out"),
+            false => Refusal::retry_later("timed_out", NO_CAPACITY_RETRY_AFTER_MS),
         });
     }
     let program = admitted.program().unwrap_or_default();
@@ -301,37 +323,40 @@
     let pick = balancer.pick(now_ms(), &admitted.service, affinity.as_deref(), tried);
     *admitted.endpoint.borrow_mut() = pick.as_ref().map(|pick| pick.id.clone());
     pick.ok_or_else(|| match attempt.may_have_run {
-        true => Refusal::unknown(StatusCode::BAD_GATEWAY, "no_other_endpoint"),
-        false => Refusal::not_now("no_endpoint", NO_ENDPOINT_RETRY_MS),
+        true => Refusal::outcome_unknown(StatusCode::BAD_GATEWAY, "no_other_endpoint"),
+        false => Refusal::retry_later("no_endpoint", NO_ENDPOINT_RETRY_AFTER_MS),
     })
 }
 
-/// The answer to the caller once no endpoint is tried any more.
-pub(crate) fn refusal_after(admitted: &Admitted, step: Step) -> Refusal {
+/// The response to the caller when the retry policy allows no further send.
+pub(crate) fn final_refusal(admitted: &AdmittedCall, step: Step) -> Refusal {
     match step {
-        Step::RefuseNotRun => Refusal::not_now("no_room", NO_ROOM_RETRY_MS),
-        _ if admitted.time_left_ms() < LEAST_TIME_MS => {
-            Refusal::unknown(StatusCode::GATEWAY_TIMEOUT, "timed_out")
+        Step::RefuseNotRun => Refusal::retry_later("no_room", NO_CAPACITY_RETRY_AFTER_MS),
+        _ if admitted.time_left_ms() < MIN_SEND_TIME_MS => {
+            Refusal::outcome_unknown(StatusCode::GATEWAY_TIMEOUT, "timed_out")
         }
-        _ => Refusal::unknown(StatusCode::BAD_GATEWAY, "endpoint_failed"),
+        _ => Refusal::outcome_unknown(StatusCode::BAD_GATEWAY, "endpoint_failed"),
     }
 }
 
-/// Runs a streamed request: a turn of a program, or a stream of its own.
+/// Runs a streamed request, with or without a program. The history is read and the budget
+/// reserved at the same time; if either fails, the rate-limit token is returned.
 async fn run_stream(
     edge: &Rc<Edge>,
-    mut admitted: Admitted,
+    mut admitted: AdmittedCall,
 ) -> Result<Response<CallBody>, Refusal> {
     let input = admitted.outgoing.body.clone();
-    let (chain, hold) =
-        tokio::join!(assemble(edge, &admitted), reserve(edge, &admitted),);
-    let prepared = hold.and_then(|hold| Ok((hold, chain?)));
-    let (hold, prompt) = prepared.inspect_err(|_| {
+    let (assembled, reserved) = tokio::join!(
+        assemble_prompt(edge, &admitted),
+        reserve_budget(edge, &admitted),
+    );
+    let prepared = reserved.and_then(|reservation| Ok((reservation, assembled?)));
+    let (reservation, prompt) = prepared.inspect_err(|_| {
         let customer = admitted.outgoing.customer.as_deref().unwrap_or_default();
         edge.return_token(customer, admitted.token);
     })?;
     admitted.outgoing.body = prompt;
-    let keep = admitted.route.keeps_turns.then(|| TurnRecord {
+    let unfinished_turn = admitted.route.keeps_turns.then(|| TurnRecord {
         turn: admitted.call.request_id.clone(),
         customer: admitted.outgoing.customer.clone().unwrap_or_default(),
         previous: admitted.call.previous_turn.clone(),
@@ -339,11 +364,21 @@
         output: Bytes::new(),
         keep_ms: 2 * admitted.route.retention_ms + RETENTION_MARGIN_MS,
     });
-    stream::run(StreamCall::new(edge, admitted, hold, keep)).await
+    stream::run(StreamCall::new(
+        edge,
+        admitted,
+        reservation,
+        unfinished_turn,
+    ))
+    .await
 }
 
-/// The whole prompt of a turn.
-async fn assemble(edge: &Rc<Edge>, admitted: &Admitted) -> Result<Bytes, Refusal> {
+/// Builds the prompt of a turn from the conversation's history and the new input. On routes that
+/// do not keep turns the body is the prompt.
+async fn assemble_prompt(
+    edge: &Rc<Edge>,
+    admitted: &AdmittedCall,
+) -> Result<Bytes, Refusal> {
     let input = &admitted.outgoing.body;
     if !admitted.route.keeps_turns {
         return Ok(input.clone());
@@ -362,17 +397,23 @@
         next.clone_from(&record.previous);
         chain.push(record);
     }
-    Ok(prompt(&chain, input))
+    Ok(build_prompt(&chain, input))
 }
 
-/// Reads a turn and those before it into the cache.
+/// Fetches a turn and those before it from the members into the cache. `is_newest` marks the
+/// turn that the caller named: if it is missing, the caller's reference is wrong, whereas a
+/// missing older turn is treated as temporarily unreachable.
 async fn fetch_chain(
     edge: &Rc<Edge>,
     turn: &str,
     is_newest: bool,
 ) -> Result<Rc<TurnRecord>, Refusal> {
-    let no_quorum = Refusal::not_now("turns_unreachable", NO_QUORUM_RETRY_MS);
-    let most_turns = if is_newest { FIRST_TURNS } else { MOST_TURNS };
+    let no_quorum = Refusal::retry_later("turns_unreachable", NO_QUORUM_RETRY_AFTER_MS);
+    let most_turns = if is_newest {
+        FIRST_FETCH_TURNS
+    } else {
+        MAX_FETCH_TURNS
+    };
     match edge.members.chain(turn, most_turns).await {
         Ok(ChainLookup::Turns(turns)) => {
             let newest = turns.first().cloned().map(Rc::new);
@@ -387,11 +428,12 @@
     }
 }
 
-/// Reserves the turn's tokens in the budget of its program.
-async fn reserve(
+/// Reserves the turn's maximum number of tokens in its program's budget. `None` if the program
+/// has no budget. If the reservation fails, dropping it settles the turn with 0 tokens.
+async fn reserve_budget(
     edge: &Rc<Edge>,
-    admitted: &Admitted,
-) -> Result<Option<BudgetHold>, Refusal> {
+    admitted: &AdmittedCall,
+) -> Result<Option<BudgetReservation>, Refusal> {
     let program = admitted.call.program.as_ref();
     let budget = program.and_then(|program| Some((program, program.budget_tokens?)));
     let Some((program, budget_tokens)) = budget else {
@@ -403,22 +445,16 @@
         turn: admitted.call.request_id.clone(),
         most_tokens: admitted.call.reserved_tokens(),
     };
-    let hold = BudgetHold::new(edge, &reservation);
+    let held = BudgetReservation::new(edge, &reservation);
     match edge.members.reserve(&reservation, budget_tokens).await {
-        Ok(Decision::Admit) => Ok(Some(hold)),
+        Ok(Decision::Admit) => Ok(Some(held)),
         Ok(Decision::Exhausted) => Err(Refusal::denied(
             StatusCode::PAYMENT_REQUIRED,
             "budget_exhausted",
         )),
-        Ok(Decision::Reread) | Err(_) => {
-            Err(Refusal::not_now("budget_unreachable", NO_QUORUM_RETRY_MS))
-        }
-    }
-}
-
-impl Refusal {
-    /// Whether the caller may count on the request not having run.
-    pub(crate) fn is_promise(&self) -> bool {
-        self.ran == Ran::No
+        Ok(Decision::Reread) | Err(_) => Err(Refusal::retry_later(
+            "budget_unreachable",
+            NO_QUORUM_RETRY_AFTER_MS,
+        )),
     }
 }
--- a/crates/gateway/src/edge/exchange.rs
+++ b/crates/gateway/src/edge/exchange.rs
@@ -1,4 +1,4 @@
-//! One send of a request to an endpoint.
+//! Sends a request to one endpoint, once, and classifies the head of the response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,116 +17,135 @@
 use crate::protocol::{EndpointHeaders, EndpointReply};
 use crate::retry::Outcome;
 
-/// Time for a connection to an endpoint, in milliseconds: many times the way between the
-/// farthest zones and the time that a handshake takes there.
+/// Connect timeout to an endpoint, in milliseconds: many times the round trip and handshake
+/// between the zones that are farthest apart.
 const CONNECT_TIMEOUT_MS: u64 = 120;
 
-/// Pause between two attempts to connect to an endpoint that could not be reached, in
-/// milliseconds.
+/// Pause between two attempts to connect to an unreachable endpoint, in milliseconds.
 const PROBE_INTERVAL_MS: u64 = 300;
 
-/// How long a connection that has carried no request is used, in milliseconds.
+/// Keep-alive time assumed for a connection that has carried no request yet, in milliseconds:
+/// the endpoint states its own time only in a response.
 const FRESH_IDLE_MS: u64 = 1_500;
 
-/// What is sent, the same to each endpoint.
+/// The parts of a request that are the same for each endpoint to which it is sent.
 #[derive(Clone, Debug)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingRequest {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
     pub body: Bytes,
+    /// Endpoints repeat it in their responses.
     pub request_id: String,
     pub customer: Option<String>,
+    /// Priority for model engines, 0 to 9, where 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Idle connections to one endpoint that are kept.
-    pub most_idle: usize,
+    /// Number of idle connections to keep to the endpoint.
+    pub max_idle: usize,
 }
 
-/// Times for one send, in milliseconds.
+/// Timeouts for one send, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct SendTimes {
-    /// Until the caller's time is over. The endpoint is told this.
-    pub left_ms: u64,
-    /// Until the head of an answer must be there.
-    pub patience_ms: u64,
+pub(crate) struct SendTimeouts {
+    /// Time left until the caller's deadline. Sent to the endpoint.
+    pub time_left_ms: u64,
+    /// Time within which the head of the response must arrive.
+    pub head_timeout_ms: u64,
 }
 
-/// A connection that carries a request. Dropped before its answer is complete, it closes.
+/// A connection that carries a request.
+///
+/// While it exists, the request counts as outstanding in the balancer. Dropping it before
+/// `release` closes the connection.
 #[derive(Debug)]
-pub(crate) struct Lease {
+pub(crate) struct PooledConnection {
     edge: Rc<Edge>,
     key: EndpointKey,
+    /// `None` until the head of the response has arrived.
     link: Option<HttpLink>,
+    /// How long the endpoint keeps the connection open while idle, in milliseconds.
     idle_ms: u64,
-    /// Idle connections to the endpoint that are kept.
-    most_idle: usize,
+    /// Number of idle connections to keep to the endpoint.
+    max_idle: usize,
 }
 
-impl Lease {
-    /// The answer is complete: the connection may carry another request.
-    pub(crate) fn finish(mut self) {
+impl PooledConnection {
+    /// Returns the connection to the pool. The response must have been read completely.
+    pub(crate) fn release(mut self) {
         if let Some(link) = self.link.take() {
             let mut pool = self.edge.pool.borrow_mut();
-            pool.put(now_ms(), self.key, link, self.idle_ms, self.most_idle);
+            pool.put(now_ms(), self.key, link, self.idle_ms, self.max_idle);
         }
     }
 
+    /// The endpoint to which it leads.
     pub(crate) fn key(&self) -> EndpointKey {
         self.key
     }
 }
 
-impl Drop for Lease {
+impl Drop for PooledConnection {
     fn drop(&mut self) {
         self.edge.balancer.borrow_mut().end(self.key);
     }
 }
 
-/// The head of an answer that can be used.
-pub(crate) struct Answered {
+/// A response that may be passed to the caller. Its body has not been read yet.
+pub(crate) struct EndpointResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Incoming,
-    pub lease: Lease,
+    pub connection: PooledConnection,
 }
 
-/// Sends a request and waits for the head of the answer.
+/// Sends a request to an endpoint and waits for the head of the response.
 ///
 /// # Errors
 ///
-/// What became of the request if the answer cannot be used, or says that it has not run.
+/// The outcome if there is no usable response, or the response says that the request has not run.
+/// It has then been logged and reported to the balancer.
 pub(crate) async fn send(
     edge: &Rc<Edge>,
     pick: &Pick,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     last_event_id: Option<u64>,
-    times: SendTimes,
-) -> Result<Answered, Outcome> {
+    timeouts: SendTimeouts,
+) -> Result<EndpointResponse, Outcome> {
     edge.balancer.borrow_mut().begin(pick.key);
-    let mut lease = Lease {
+    let mut connection = PooledConnection {
         edge: Rc::clone(edge),
         key: pick.key,
         link: None,
         idle_ms: 0,
-        most_idle: outgoing.most_idle,
+        max_idle: outgoing.max_idle,
     };
-    let timeout = Duration::from_millis(times.patience_ms);
-    let exchange = exchange(edge, pick, outgoing, last_event_id, times.left_ms);
+    let timeout = Duration::from_millis(timeouts.head_timeout_ms);
+    let exchange = exchange(edge, pick, outgoing, last_event_id, timeouts.time_left_ms);
     let sent = tokio::time::timeout(timeout, exchange).await;
     let response = match sent {
         Ok(Ok((link, response))) => {
-            lease.link = Some(link);
+            connection.link = Some(link);
             response
         }
         Ok(Err(SendError::NotSent(reason))) => {
             probe_until_reachable(edge, pick);
-            return Err(edge.endpoint_failed(pick, outgoing, Outcome::NotSent, &reason));
+            return Err(edge.record_endpoint_failure(
+                pick,
+                outgoing,
+                Outcome::NotSent,
+                &reason,
+            ));
         }
         Ok(Err(SendError::Lost(reason))) => {
-            return Err(edge.endpoint_failed(pick, outgoing, Outcome::Unknown, &reason));
+            return Err(edge.record_endpoint_failure(
+                pick,
+                outgoing,
+                Outcome::Unknown,
+                &reason,
+            ));
         }
         Err(_) => {
-            return Err(edge.endpoint_failed(
+            return Err(edge.record_endpoint_failure(
                 pick,
                 outgoing,
                 Outcome::Unknown,
@@ -134,26 +153,27 @@
             ));
         }
     };
-    examine(edge, pick, outgoing, response, lease)
+    check_response(edge, pick, outgoing, response, connection)
 }
 
-/// Sends a request on an idle connection, or on a new one.
+/// Sends a request on an idle connection, or else on a new one.
 async fn exchange(
     edge: &Rc<Edge>,
     pick: &Pick,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     last_event_id: Option<u64>,
-    left_ms: u64,
+    time_left_ms: u64,
 ) -> Result<(HttpLink, Response<Incoming>), SendError> {
     let began_ms = now_ms();
     let request = || {
-        let left_ms = left_ms.saturating_sub(now_ms() - began_ms);
-        request(edge, pick, outgoing, last_event_id, left_ms)
+        let time_left_ms = time_left_ms.saturating_sub(now_ms() - began_ms);
+        build_request(edge, pick, outgoing, last_event_id, time_left_ms)
     };
     let idle = edge.pool.borrow_mut().take(now_ms(), pick.key);
     if let Some(mut link) = idle {
         match link.send(request()).await {
-            // The endpoint may have closed the connection while it was idle.
+            // The endpoint may have closed the connection while it was idle, so a new one is
+            // tried next. Nothing was sent, so the request cannot run twice.
             Err(SendError::NotSent(_)) => {}
             response => return response.map(|response| (link, response)),
         }
@@ -164,7 +184,8 @@
     Ok((link, response))
 }
 
-/// Keeps requests away from an endpoint until it takes a connection again.
+/// Suspends an endpoint in the balancer until it accepts a connection again. Does nothing if it
+/// is suspended already.
 fn probe_until_reachable(edge: &Rc<Edge>, pick: &Pick) {
     if !edge.balancer.borrow_mut().suspend(pick.key) {
         return;
@@ -189,10 +210,11 @@
     });
 }
 
-fn request(
+/// Builds the request for one endpoint.
+fn build_request(
     edge: &Edge,
     pick: &Pick,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     last_event_id: Option<u64>,
     time_left_ms: u64,
 ) -> Request<Full<Bytes>> {
@@ -210,69 +232,74 @@
     request
 }
 
-/// Decides whether the answer belongs to the request and is the endpoint's own.
-fn examine(
+/// Decides whether a response can be passed to the caller, and records the load and failure that
+/// it reports.
+fn check_response(
     edge: &Edge,
     pick: &Pick,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     response: Response<Incoming>,
-    mut lease: Lease,
-) -> Result<Answered, Outcome> {
+    mut connection: PooledConnection,
+) -> Result<EndpointResponse, Outcome> {
     let (parts, body) = response.into_parts();
     let reply = edge.protocol.decode_reply(&parts.headers);
     if let Some(load) = reply.load {
         let mut balancer = edge.balancer.borrow_mut();
         balancer.report(now_ms(), pick.key, load);
     }
-    lease.idle_ms = idle_ms(&parts.headers);
-    let outcome = match outcome_of(&reply, parts.status, &outgoing.request_id) {
+    connection.idle_ms = idle_ms(&parts.headers);
+    let outcome = match classify_response(&reply, parts.status, &outgoing.request_id) {
         Some(outcome) => outcome,
         None => {
-            return Ok(Answered {
+            return Ok(EndpointResponse {
                 status: parts.status,
                 headers: parts.headers,
                 body,
-                lease,
+                connection,
             });
         }
     };
     match outcome {
         Outcome::Rejected => {
             edge.balancer.borrow_mut().reject(now_ms(), pick.key);
-            edge.note_outcome(pick, outgoing, outcome, parts.status.as_str());
-            finish_rejected(body, lease);
+            edge.record_failed_send(pick, outgoing, outcome, parts.status.as_str());
+            drain_rejection(body, connection);
         }
         _ => {
-            edge.endpoint_failed(pick, outgoing, outcome, parts.status.as_str());
+            edge.record_endpoint_failure(pick, outgoing, outcome, parts.status.as_str());
         }
     }
     Err(outcome)
 }
 
-/// Reads the rest of a rejection, so that its connection can be used again.
-fn finish_rejected(body: Incoming, lease: Lease) {
+/// Reads the rest of a rejection in the background, so that its connection can be reused.
+fn drain_rejection(body: Incoming, connection: PooledConnection) {
     tokio::task::spawn_local(async move {
         if http_body_util::BodyExt::collect(body).await.is_ok() {
-            lease.finish();
+            connection.release();
         }
     });
 }
 
-/// None if the answer can be handed to the caller. A status by which endpoints promise that
-/// a request has not run counts only with that promise.
-fn outcome_of(
+/// Returns why a response must not be passed to the caller, or `None` if it may be.
+///
+/// The response must be for this request, and a success must carry the endpoint's signature.
+/// Statuses 408, 429 and 503 mean that the request has not run only if the response says so
+/// explicitly; otherwise the outcome is unknown. 421 always means that another endpoint received
+/// the request.
+fn classify_response(
     reply: &EndpointReply,
     status: StatusCode,
     request_id: &str,
 ) -> Option<Outcome> {
-    let is_own = reply.request_id.as_deref() == Some(request_id);
-    let is_promise = matches!(status.as_u16(), 408 | 421 | 429 | 503);
+    let is_for_request = reply.request_id.as_deref() == Some(request_id);
+    let needs_not_run_header = matches!(status.as_u16(), 408 | 421 | 429 | 503);
     match status {
-        _ if reply.request_id.is_some() && !is_own => Some(Outcome::Unknown),
+        _ if reply.request_id.is_some() && !is_for_request => Some(Outcome::Unknown),
         StatusCode::MISDIRECTED_REQUEST => Some(Outcome::Misdirected),
         _ if reply.has_not_run => Some(Outcome::Rejected),
-        _ if is_promise => Some(Outcome::Unknown),
-        status if status.is_success() && !(reply.is_signed && is_own) => {
+        _ if needs_not_run_header => Some(Outcome::Unknown),
+        status if status.is_success() && !(reply.is_signed && is_for_request) => {
             Some(Outcome::Unknown)
         }
         _ if reply.is_encoded || status.is_informational() => Some(Outcome::Unknown),
--- a/crates/gateway/src/edge/listen.rs
+++ b/crates/gateway/src/edge/listen.rs
@@ -1,4 +1,4 @@
-//! Connections of callers, of the balancer and of those who read metrics; the planned stop.
+//! Listeners for callers, readiness checks and metrics, and the graceful shutdown.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -25,32 +25,35 @@
 use crate::protocol::CallProtocol;
 use crate::settings::NodeSettings;
 
-/// Connections that wait to be accepted.
+/// Length of the listen queue: connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// Smallest buffer for a head that hyper takes, in bytes.
-const LEAST_HEAD_BYTES: usize = 8_192;
+/// Smallest buffer for a request head that hyper accepts, in bytes.
+const MIN_HEAD_BUFFER_BYTES: usize = 8_192;
 
-/// Pause after a failed accept, in milliseconds, so that a lack of descriptors does not turn
-/// into a busy loop.
-const ACCEPT_PAUSE_MS: u64 = 20;
+/// Pause after a failed accept, in milliseconds. Without it, running out of file descriptors
+/// would cause a busy loop.
+const ACCEPT_RETRY_MS: u64 = 20;
 
-/// After a planned stop begins, new connections are still taken for this time, in
-/// milliseconds: the balancer notices within two of its looks, which are a second apart.
-const STOP_NOTICE_MS: u64 = 2_500;
+/// After a graceful shutdown begins, new connections are still accepted for this time, in
+/// milliseconds: the load balancer reacts after two readiness checks, which are one second
+/// apart.
+const ACCEPT_AFTER_STOP_MS: u64 = 2_500;
 
-/// Part of the time for a planned stop that is left for the end of the process, in
-/// milliseconds.
-const STOP_MARGIN_MS: u64 = 800;
+/// Part of `Bounds::stop_ms` that is reserved for the exit of the process, in milliseconds.
+const EXIT_RESERVE_MS: u64 = 800;
 
-/// Pause between two looks whether the last request has ended, in milliseconds.
-const STOP_POLL_MS: u64 = 50;
+/// Interval at which the shutdown checks whether all connections are closed, in milliseconds.
+const DRAIN_POLL_MS: u64 = 50;
 
-/// Runs an entry instance until it is told to stop.
+/// Runs an entry instance until SIGTERM or SIGINT, then shuts it down gracefully: readiness checks
+/// fail, connections close after their current request, and those still open when the time is
+/// over are cut off.
 ///
 /// # Errors
 ///
-/// If an address cannot be listened on.
+/// If the settings lack an address, an address cannot be bound or a signal handler cannot be
+/// installed.
 pub async fn run(
     settings: NodeSettings,
     store: Box<dyn MetadataStore>,
@@ -58,10 +61,10 @@
 ) -> eyre::Result<()> {
     let front = settings
         .front
-        .ok_or_eyre("the settings name no address for callers")?;
+        .ok_or_eyre("settings: the \"front\" listen address is missing")?;
     let ready = settings
         .ready
-        .ok_or_eyre("the settings name no readiness address")?;
+        .ok_or_eyre("settings: the \"ready\" listen address is missing")?;
     let metrics = settings.metrics;
     let stop_ms = settings.bounds.stop_ms;
     let edge = Rc::new(Edge::new(settings, store, protocol));
@@ -73,32 +76,34 @@
     let (stopping, is_stopping) = watch::channel(false);
     let accepting =
         tokio::task::spawn_local(accept_calls(Rc::clone(&edge), front, is_stopping));
-    tokio::task::spawn_local(serve_ready(Rc::clone(&edge), ready));
+    tokio::task::spawn_local(serve_readiness(Rc::clone(&edge), ready));
     let for_metrics = Rc::clone(&edge);
     tokio::task::spawn_local(serve_text(metrics, move || for_metrics.metrics.text()));
     wait_for_shutdown_signal().await?;
     let began_ms = now_ms();
     log::info!("event=stopping calls={}", edge.metrics.open_calls());
     edge.is_stopping.set(true);
-    // No connection may be left to tell.
+    // Fails only if no connection is open.
     let _ = stopping.send(true);
-    pause(STOP_NOTICE_MS).await;
+    pause(ACCEPT_AFTER_STOP_MS).await;
     accepting.abort();
-    let last_ms = began_ms + stop_ms.saturating_sub(STOP_MARGIN_MS);
+    let last_ms = began_ms + stop_ms.saturating_sub(EXIT_RESERVE_MS);
     while edge.metrics.open_connections() > 0 && now_ms() < last_ms {
-        pause(STOP_POLL_MS).await;
+        pause(DRAIN_POLL_MS).await;
     }
     log::info!("event=stopped calls={}", edge.metrics.open_calls());
     Ok(())
 }
 
-/// Returns on SIGTERM or SIGINT. SIGHUP is logged: no setting that may change while the
-/// process runs is used after its start.
+/// Returns on SIGTERM or SIGINT. SIGHUP, which asks for a reload, is only logged: the settings
+/// that may change at runtime are used only at startup.
 pub(crate) async fn wait_for_shutdown_signal() -> eyre::Result<()> {
-    let mut term = signal(SignalKind::terminate()).wrap_err("no handler for SIGTERM")?;
+    let mut term =
+        signal(SignalKind::terminate()).wrap_err("cannot install the SIGTERM handler")?;
     let mut interrupt =
-        signal(SignalKind::interrupt()).wrap_err("no handler for SIGINT")?;
-    let mut hangup = signal(SignalKind::hangup()).wrap_err("no handler for SIGHUP")?;
+        signal(SignalKind::interrupt()).wrap_err("cannot install the SIGINT handler")?;
+    let mut hangup =
+        signal(SignalKind::hangup()).wrap_err("cannot install the SIGHUP handler")?;
     loop {
         tokio::select! {
             _ = term.recv() => return Ok(()),
@@ -108,18 +113,19 @@
     }
 }
 
-/// Listens on an address.
+/// Opens a listening IPv4 socket with SO_REUSEADDR.
 pub(crate) fn listen(address: SocketAddr) -> eyre::Result<TcpListener> {
     let socket = TcpSocket::new_v4().wrap_err("cannot open a socket")?;
-    let reusing = socket.set_reuseaddr(true);
-    reusing.wrap_err("cannot set the option to reuse an address")?;
+    let option_set = socket.set_reuseaddr(true);
+    option_set.wrap_err("cannot set SO_REUSEADDR")?;
     let bound = socket.bind(address);
     bound.wrap_err_with(|| format!("cannot bind {address}"))?;
     let listening = socket.listen(BACKLOG);
     listening.wrap_err_with(|| format!("cannot listen on {address}"))
 }
 
-/// The next connection.
+/// Accepts the next connection, with TCP options that detect a dead peer. Errors are logged and
+/// retried.
 pub(crate) async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
@@ -129,12 +135,13 @@
             },
             Err(error) => {
                 log::warn!("event=accept_failed reason={error}");
-                pause(ACCEPT_PAUSE_MS).await;
+                pause(ACCEPT_RETRY_MS).await;
             }
         }
     }
 }
 
+/// Accepts callers' connections and serves each in its own task.
 async fn accept_calls(
     edge: Rc<Edge>,
     listener: TcpListener,
@@ -147,6 +154,8 @@
     }
 }
 
+/// Serves one caller's connection. After `stopping` turns true, the connection closes when its
+/// current request is done.
 async fn serve_connection(
     edge: Rc<Edge>,
     stream: TcpStream,
@@ -159,8 +168,9 @@
         let edge = Rc::clone(&for_calls);
         async move {
             let _open = edge.metrics.open_call();
-            let mut response = call::serve(Rc::clone(&edge), request).await;
-            // A new connection leads to an instance that will go on serving.
+            let mut response = call::handle_request(Rc::clone(&edge), request).await;
+            // Without contact with the group for this long, the load balancer sends new
+            // connections to other instances, so the caller should open one.
             if edge.members.contact().is_left_by_balancer(now_ms()) {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(CONNECTION, close);
@@ -170,9 +180,9 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        // The deadline for a head also runs while the connection is idle.
+        // hyper applies this timeout also while the connection is idle.
         .header_read_timeout(Duration::from_millis(limits.idle_ms.max(limits.head_ms)))
-        .max_buf_size(limits.head_bytes.max(LEAST_HEAD_BYTES))
+        .max_buf_size(limits.head_bytes.max(MIN_HEAD_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     let stop = stopping.wait_for(|stopping| *stopping);
@@ -188,7 +198,8 @@
     }
 }
 
-async fn serve_ready(edge: Rc<Edge>, listener: TcpListener) {
+/// Answers readiness checks on any path: 200 if callers should be sent here, otherwise 503.
+async fn serve_readiness(edge: Rc<Edge>, listener: TcpListener) {
     loop {
         let stream = accept(&listener).await;
         let edge = Rc::clone(&edge);
@@ -198,14 +209,14 @@
                     true => StatusCode::OK,
                     false => StatusCode::SERVICE_UNAVAILABLE,
                 };
-                answer_text(status, String::new())
+                text_response(status, String::new())
             });
-            serve_plain(stream, service).await;
+            serve_http1(stream, service).await;
         });
     }
 }
 
-/// Serves one text to whoever asks.
+/// Answers every request with the current result of `text`. Used for metrics.
 pub(crate) async fn serve_text(
     listener: TcpListener,
     text: impl Fn() -> String + 'static,
@@ -215,13 +226,14 @@
         let stream = accept(&listener).await;
         let text = Rc::clone(&text);
         tokio::task::spawn_local(async move {
-            let service = service_fn(move |_| answer_text(StatusCode::OK, text()));
-            serve_plain(stream, service).await;
+            let service = service_fn(move |_| text_response(StatusCode::OK, text()));
+            serve_http1(stream, service).await;
         });
     }
 }
 
-async fn serve_plain<S, F>(stream: TcpStream, service: S)
+/// Serves a connection that is not a caller's, with the default limits of hyper.
+async fn serve_http1<S, F>(stream: TcpStream, service: S)
 where
     S: hyper::service::Service<
             hyper::Request<hyper::body::Incoming>,
@@ -238,7 +250,7 @@
     }
 }
 
-async fn answer_text(
+async fn text_response(
     status: StatusCode,
     text: String,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
--- a/crates/gateway/src/edge/members.rs
+++ b/crates/gateway/src/edge/members.rs
@@ -1,4 +1,9 @@
-//! Questions of an entry instance to the group of instances with disks.
+//! Client of the storage group: the requests of an entry instance to the members, which are
+//! instances with disks.
+//!
+//! Requests about turns and budgets need answers of several members, all in the same version of
+//! the group; those about rate limits, the configuration, endpoints and presence need one
+//! member.
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -17,86 +22,87 @@
 use crate::link::{LinkError, MemberLinks};
 use crate::membership::DECISION_LIMIT_MS;
 
-/// Time for an answer, in milliseconds: several syncs of a disk, and the way there.
-const ASK_TIMEOUT_MS: u64 = 250;
+/// Timeout of a request for which a member may need its disk, in milliseconds: several disk syncs
+/// and the round trip.
+const DISK_TIMEOUT_MS: u64 = 250;
 
-/// A reservation that failed sooner than this, in milliseconds, is tried once more: its
-/// connections were broken, or the group has changed.
-const QUICK_FAILURE_MS: u64 = 100;
+/// A reservation that fails sooner than this, in milliseconds, is retried once: the connections
+/// were broken, or the group has changed.
+const RETRY_RESERVE_WITHIN_MS: u64 = 100;
 
 /// Members are probed if no quorum has answered for this long, in milliseconds, so that an
 /// instance without traffic stays ready.
-const PROBE_SILENCE_MS: u64 = 150;
+const PROBE_AFTER_SILENCE_MS: u64 = 150;
 
-/// Time for an answer that needs no disk, in milliseconds.
-const QUICK_TIMEOUT_MS: u64 = 120;
+/// Timeout of a request that a member answers from memory, in milliseconds.
+const MEMORY_TIMEOUT_MS: u64 = 120;
 
-/// After this time without enough copies of a turn further members are asked, in
-/// milliseconds: a few syncs.
-const COPY_HEDGE_MS: u64 = 50;
+/// If a turn has not been stored or found after this time, the remaining members are asked as
+/// well, in milliseconds: the time of a few disk syncs.
+const HEDGE_DELAY_MS: u64 = 50;
 
-/// A finished turn that has not enough copies after this time is given up, in milliseconds.
-const COPY_TIMEOUT_MS: u64 = 1_200;
+/// Storing a finished turn fails if it has too few copies after this time, in milliseconds.
+const STORE_TURN_TIMEOUT_MS: u64 = 1_200;
 
-/// Pause before a finished turn is offered again to members that did not take it, in
-/// milliseconds.
-const COPY_RETRY_MS: u64 = 50;
+/// Pause before another attempt to store a finished turn, in milliseconds.
+const STORE_TURN_RETRY_MS: u64 = 50;
 
-/// How many members are asked for endpoints before the store is: one more than the nearest.
-const SHARING_MEMBERS: usize = 2;
+/// Number of members that are asked for endpoints before the metadata store is: the nearest and
+/// one more.
+const ENDPOINT_SOURCES: usize = 2;
 
-/// The group did not answer in a way that decides.
+/// Too few members answered in one version of the group, or too late, to decide a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct NoQuorum;
 
-/// A decision that took too long may rest on the answer of a member that has lost its disk
-/// since and votes again without knowing it.
-fn in_time(began_ms: u64, decision: Decision) -> Result<Decision, NoQuorum> {
+/// Rejects a decision that took longer than `DECISION_LIMIT_MS`. A member may have answered, then
+/// lost its disk, and by now vote again without its record of that answer.
+fn check_decision_age(began_ms: u64, decision: Decision) -> Result<Decision, NoQuorum> {
     match now_ms() < began_ms + DECISION_LIMIT_MS {
         true => Ok(decision),
         false => Err(NoQuorum),
     }
 }
 
-/// Whether a turn exists.
+/// Result of a search for a turn and the turns before it.
 #[derive(Debug)]
 pub enum ChainLookup {
-    /// Newest turn first, perhaps not to the beginning.
+    /// The turns found, newest first. They may not reach back to the first turn of the
+    /// conversation.
     Turns(Vec<TurnRecord>),
-    /// No member can have it.
+    /// The turn does not exist: so many members lack it that the rest cannot hold all its copies.
     Missing,
 }
 
-/// Connections to the members.
+/// Connections to the members of the storage group, and what is known about the group.
 pub struct Members {
     availability_zone: String,
     group: RefCell<Rc<Group>>,
     links: Box<dyn MemberLinks>,
     contact: RefCell<Contact>,
-    /// A member knows a newer group than this instance.
-    is_behind: Cell<bool>,
+    /// A member has reported a newer version of the group than this instance has.
+    is_group_outdated: Cell<bool>,
 }
 
 impl Members {
-    /// The members as an instance of this availability zone sees them, before it knows a
-    /// group.
+    /// Starts without a group. Members of `availability_zone` will be preferred.
     pub fn new(availability_zone: &str, links: Box<dyn MemberLinks>) -> Members {
         Members {
             availability_zone: availability_zone.to_string(),
             group: RefCell::default(),
             links,
             contact: RefCell::default(),
-            is_behind: Cell::new(false),
+            is_group_outdated: Cell::new(false),
         }
     }
 
-    /// The newest group known.
+    /// The newest known version of the group. Version 0, without members, if none is known.
     pub fn group(&self) -> Rc<Group> {
         Rc::clone(&self.group.borrow())
     }
 
-    /// Learns a group. Older ones are ignored. Members hear of it, so that they close the
-    /// versions before.
+    /// Switches to a version of the group if it is newer than the known one. Its members are
+    /// told, so that they stop answering in earlier versions.
     pub fn adopt(self: &Rc<Self>, group: Group) {
         if group.version <= self.group().version {
             return;
@@ -107,28 +113,29 @@
             group.members.len()
         );
         *self.group.borrow_mut() = Rc::new(group);
-        self.is_behind.set(false);
+        self.is_group_outdated.set(false);
         for member in &self.group().members {
-            self.tell_group(member);
+            self.send_group(member);
         }
     }
 
-    /// Whether a quorum answers, and no member has told of a newer group.
+    /// Whether a quorum answers in the known version of the group, and no member has reported a
+    /// newer one.
     pub fn is_group_current(&self, now_ms: u64) -> bool {
         self.group().version > 0
             && self.contact().has_quorum(now_ms)
-            && !self.is_behind.get()
+            && !self.is_group_outdated.get()
     }
 
-    /// Tells a member the newest group.
-    fn tell_group(self: &Rc<Self>, member: &Member) {
+    /// Sends a member the newest known version of the group, without waiting for the answer.
+    fn send_group(self: &Rc<Self>, member: &Member) {
         let group = self.group();
         let ask = Ask::Adopt(Group::clone(&group));
-        drop(self.spawn_ask(group.version, member, ask, QUICK_TIMEOUT_MS));
+        drop(self.spawn_ask(group.version, member, ask, MEMORY_TIMEOUT_MS));
     }
 
-    /// Members, those of the own availability zone first. The order of the others depends
-    /// on the key, so that load spreads.
+    /// All members, those of the own availability zone first. Within that, the order depends on
+    /// `key`, so that load is spread.
     pub fn nearest_first(&self, key: &str) -> Vec<Member> {
         let mut members = self.group().members.clone();
         members.sort_by_cached_key(|member| {
@@ -138,8 +145,9 @@
         members
     }
 
-    /// Asks a member in one version of the group. Answers of different versions must not be
-    /// counted together: a quorum of one need not share a member with a quorum of the other.
+    /// Sends a request to a member for one version of the group. Answers given in different
+    /// versions must not be counted together, since quorums of two versions need not have a
+    /// member in common.
     async fn ask(
         &self,
         group_version: u64,
@@ -154,17 +162,18 @@
         answer
     }
 
-    /// The contact with the group at present.
+    /// A copy of the current state of the contact with the group.
     pub fn contact(&self) -> Contact {
         *self.contact.borrow()
     }
 
-    /// The store answered this instance.
+    /// Records that the metadata store answered this instance.
     pub(crate) fn note_store(&self) {
         self.contact.borrow_mut().note_store(now_ms());
     }
 
-    /// When a caller may come back that needs the group, in milliseconds.
+    /// Retry-After for a request that needs the group while contact with it is lost, in
+    /// milliseconds.
     pub fn retry_ms(&self) -> u64 {
         let group = self.group();
         let mut members = group.members.iter();
@@ -173,10 +182,11 @@
         self.contact().retry_ms(now_ms(), has_near_member)
     }
 
-    /// Asks all members whether they vote, if no quorum has answered lately.
+    /// Asks all members whether they vote, if no quorum has answered recently. Also sends the group
+    /// to members with an older version.
     pub async fn probe(self: &Rc<Self>) {
         let silence_ms = self.contact().silence_ms(now_ms());
-        if silence_ms.is_some_and(|silence_ms| silence_ms < PROBE_SILENCE_MS) {
+        if silence_ms.is_some_and(|silence_ms| silence_ms < PROBE_AFTER_SILENCE_MS) {
             return;
         }
         let group = self.group();
@@ -185,7 +195,7 @@
             .members
             .iter()
             .map(|member| {
-                let asked = self.ask(version, member, Ask::Status, QUICK_TIMEOUT_MS);
+                let asked = self.ask(version, member, Ask::Status, MEMORY_TIMEOUT_MS);
                 asked.map(move |answer| (member, answer))
             })
             .collect();
@@ -195,14 +205,14 @@
                 Ok(Answer::Status { group_version, .. })
                     if group_version < group.version =>
                 {
-                    self.tell_group(member);
+                    self.send_group(member);
                 }
                 Ok(Answer::Status {
                     is_voting,
                     group_version,
                 }) => {
                     if group_version > group.version {
-                        self.is_behind.set(true);
+                        self.is_group_outdated.set(true);
                     }
                     voting += usize::from(is_voting);
                 }
@@ -215,20 +225,20 @@
         }
     }
 
-    /// Asks all members and collects charges until a quorum has answered.
-    async fn charges(
+    /// Sends a request to all members and adds the charges they return to `tally`, until a quorum
+    /// has answered.
+    async fn collect_charges(
         self: &Rc<Self>,
         ask: &Ask,
         timeout_ms: u64,
         tally: &mut Tally,
     ) -> Result<(), NoQuorum> {
         let group = self.group();
-        let answers: FuturesUnordered<_> = group
+        let mut answers: FuturesUnordered<_> = group
             .members
             .iter()
             .map(|member| self.spawn_ask(group.version, member, ask.clone(), timeout_ms))
             .collect();
-        let mut answers = answers;
         let mut count = 0;
         while let Some(answer) = answers.next().await {
             match answer {
@@ -250,7 +260,8 @@
         Err(NoQuorum)
     }
 
-    /// Asks in a task of its own: the question is completed also if nobody waits any more.
+    /// Like `ask`, but in its own task, so that the request is completed even if the caller stops
+    /// waiting for the answer.
     fn spawn_ask(
         self: &Rc<Self>,
         group_version: u64,
@@ -264,8 +275,9 @@
         })
     }
 
-    /// Reserves tokens for a turn. If the answer is not `Admit`, or there is none, the
-    /// caller must settle the turn with 0 tokens.
+    /// Reserves tokens for a turn in its program's budget of `budget_tokens`. The caller must
+    /// settle the turn: with 0 tokens if the result is not `Admit`, since members may have
+    /// recorded the reservation.
     pub async fn reserve(
         self: &Rc<Self>,
         reservation: &Reservation,
@@ -273,7 +285,7 @@
     ) -> Result<Decision, NoQuorum> {
         let began_ms = now_ms();
         let result = self.reserve_once(reservation, budget_tokens).await;
-        match result.is_err() && now_ms() < began_ms + QUICK_FAILURE_MS {
+        match result.is_err() && now_ms() < began_ms + RETRY_RESERVE_WITHIN_MS {
             true => self.reserve_once(reservation, budget_tokens).await,
             false => result,
         }
@@ -288,68 +300,75 @@
         let mut tally = Tally::new(&reservation.turn);
         let ask = Ask::Reserve(reservation.clone());
         let version = self.group().version;
-        self.charges(&ask, ASK_TIMEOUT_MS, &mut tally).await?;
+        self.collect_charges(&ask, DISK_TIMEOUT_MS, &mut tally)
+            .await?;
         let most_tokens = reservation.most_tokens;
         let decision = tally.decide(Phase::Reserved, budget_tokens, most_tokens);
         if decision != Decision::Reread {
-            return in_time(began_ms, decision);
+            return check_decision_age(began_ms, decision);
         }
         let ask = Ask::Charges(reservation.program.clone());
-        self.charges(&ask, QUICK_TIMEOUT_MS, &mut tally).await?;
+        self.collect_charges(&ask, MEMORY_TIMEOUT_MS, &mut tally)
+            .await?;
         match self.group().version == version {
             true => {
                 let decision = tally.decide(Phase::Reread, budget_tokens, most_tokens);
-                in_time(began_ms, decision)
+                check_decision_age(began_ms, decision)
             }
             false => Err(NoQuorum),
         }
     }
 
-    /// Tells what a turn used in the end. If it gets lost the reservation stays, which
-    /// charges more than was used, never less.
+    /// Reports the tokens that a turn actually used, without waiting for answers. If the message is
+    /// lost, the reservation stays, so the budget is charged too much but never too little.
     pub fn settle(self: &Rc<Self>, settlement: &Settlement) {
         let group = self.group();
         for member in &group.members {
             let ask = Ask::Settle(settlement.clone());
-            drop(self.spawn_ask(group.version, member, ask, ASK_TIMEOUT_MS));
+            drop(self.spawn_ask(group.version, member, ask, DISK_TIMEOUT_MS));
         }
     }
 
-    /// Keeps a finished turn. Returns once enough members have it on disk. Repeating it
-    /// does no harm, so it is tried again while the group changes or members are away.
+    /// Stores a finished turn. Returns once enough members have it on disk. The request is
+    /// idempotent, so it is retried while the group changes or members are unreachable.
     pub async fn keep_turn(self: &Rc<Self>, record: &TurnRecord) -> Result<(), NoQuorum> {
-        let until_ms = now_ms() + COPY_TIMEOUT_MS;
+        let until_ms = now_ms() + STORE_TURN_TIMEOUT_MS;
         loop {
             let version = self.group().version;
-            let kept = self.keep_once(record).await;
-            if kept.is_ok() || now_ms() >= until_ms {
-                return kept;
+            let stored = self.store_turn_once(record).await;
+            if stored.is_ok() || now_ms() >= until_ms {
+                return stored;
             }
             if self.group().version == version {
-                pause(COPY_RETRY_MS).await;
+                pause(STORE_TURN_RETRY_MS).await;
             }
         }
     }
 
-    async fn keep_once(self: &Rc<Self>, record: &TurnRecord) -> Result<(), NoQuorum> {
+    /// Sends a turn to as many members as it needs copies, and to further ones if these fail or are
+    /// slow.
+    async fn store_turn_once(
+        self: &Rc<Self>,
+        record: &TurnRecord,
+    ) -> Result<(), NoQuorum> {
         let group = self.group();
         let key = record.previous.as_deref().unwrap_or(&record.turn);
         let mut candidates = self.nearest_first(key).into_iter();
         let copies = group.copies().max(1);
         let ask_next = |member: Member| {
             let ask = Ask::KeepTurn(record.clone());
-            self.spawn_ask(group.version, &member, ask, COPY_TIMEOUT_MS)
+            self.spawn_ask(group.version, &member, ask, STORE_TURN_TIMEOUT_MS)
         };
         let mut pending = FuturesUnordered::new();
         pending.extend(candidates.by_ref().take(copies).map(&ask_next));
-        let hedge = pause(COPY_HEDGE_MS);
+        let hedge = pause(HEDGE_DELAY_MS);
         tokio::pin!(hedge);
-        let mut is_hedged = false;
-        let mut kept = 0;
-        while kept < copies {
+        let mut asked_all = false;
+        let mut stored = 0;
+        while stored < copies {
             tokio::select! {
                 answer = pending.next() => match answer {
-                    Some(Ok(Ok(Answer::Done))) => kept += 1,
+                    Some(Ok(Ok(Answer::Done))) => stored += 1,
                     Some(Ok(Ok(Answer::Closed(newer)))) => {
                         self.adopt(newer);
                         return Err(NoQuorum);
@@ -357,8 +376,8 @@
                     Some(_) => pending.extend(candidates.next().map(&ask_next)),
                     None => return Err(NoQuorum),
                 },
-                () = &mut hedge, if !is_hedged => {
-                    is_hedged = true;
+                () = &mut hedge, if !asked_all => {
+                    asked_all = true;
                     pending.extend(candidates.by_ref().map(&ask_next));
                 }
             }
@@ -366,8 +385,8 @@
         Ok(())
     }
 
-    /// Finds a turn and up to `most_turns` - 1 of those before it. Tried again if the group has
-    /// changed meanwhile.
+    /// Finds a turn and up to `most_turns - 1` turns before it. Retried once if the group changed
+    /// in the meantime.
     pub async fn chain(
         self: &Rc<Self>,
         turn: &str,
@@ -382,6 +401,8 @@
         }
     }
 
+    /// Asks the members one after another, or all after a delay, until one has the turn or so many
+    /// lack it that it cannot exist.
     async fn chain_once(
         self: &Rc<Self>,
         turn: &str,
@@ -394,15 +415,16 @@
                 turn: turn.to_string(),
                 most_turns,
             };
-            self.spawn_ask(group.version, &member, ask, ASK_TIMEOUT_MS)
+            self.spawn_ask(group.version, &member, ask, DISK_TIMEOUT_MS)
         };
         let mut pending = FuturesUnordered::new();
         pending.extend(candidates.next().map(&ask_next));
-        let hedge = pause(COPY_HEDGE_MS);
+        let hedge = pause(HEDGE_DELAY_MS);
         tokio::pin!(hedge);
-        let mut is_hedged = false;
-        let mut without = 0;
-        let readable = group.members.len() + 1 - group.copies().min(group.members.len());
+        let mut asked_all = false;
+        let mut missing_at = 0;
+        let needed_misses =
+            group.members.len() + 1 - group.copies().min(group.members.len());
         loop {
             tokio::select! {
                 answer = pending.next() => match answer {
@@ -414,24 +436,26 @@
                         return Err(NoQuorum);
                     }
                     Some(answer) => {
-                        without += usize::from(matches!(answer, Ok(Ok(Answer::Chain(_)))));
-                        if without >= readable && !group.members.is_empty() {
+                        missing_at += usize::from(matches!(answer, Ok(Ok(Answer::Chain(_)))));
+                        if missing_at >= needed_misses && !group.members.is_empty() {
                             return Ok(ChainLookup::Missing);
                         }
-                        // One at a time: each that holds the turn sends all of its content.
+                        // Members are asked one at a time, since each that has the turn sends
+                        // its full content.
                         pending.extend(candidates.next().map(&ask_next));
                     }
                     None => return Err(NoQuorum),
                 },
-                () = &mut hedge, if !is_hedged => {
-                    is_hedged = true;
+                () = &mut hedge, if !asked_all => {
+                    asked_all = true;
                     pending.extend(candidates.by_ref().map(&ask_next));
                 }
             }
         }
     }
 
-    /// Takes tokens of customers' rates from one member.
+    /// Requests rate-limit tokens from one member. Returns the number granted for each entry of
+    /// `wants`, or `None` without a usable answer.
     pub async fn take_quota(
         self: &Rc<Self>,
         member: &Member,
@@ -443,7 +467,10 @@
             wants,
         };
         let group_version = self.group().version;
-        match self.ask(group_version, member, ask, QUICK_TIMEOUT_MS).await {
+        match self
+            .ask(group_version, member, ask, MEMORY_TIMEOUT_MS)
+            .await
+        {
             Ok(Answer::Quota(granted)) => Some(granted),
             Ok(Answer::Closed(newer)) => {
                 self.adopt(newer);
@@ -453,7 +480,8 @@
         }
     }
 
-    /// The configuration and its freshness from the nearest member.
+    /// Reads the configuration from the nearest member. Its content is included if it differs from
+    /// `known_revision`.
     pub async fn nearest_configuration(
         &self,
         known_revision: u64,
@@ -462,7 +490,7 @@
         self.configuration_of(&member, known_revision).await
     }
 
-    /// The configuration and its freshness from all members.
+    /// Reads the configuration from all members, one after another. Contains those that answered.
     pub async fn configuration(&self, known_revision: u64) -> Vec<SharedConfiguration> {
         let mut found = Vec::new();
         for member in self.nearest_first("configuration") {
@@ -478,14 +506,15 @@
     ) -> Option<SharedConfiguration> {
         let version = self.group().version;
         let ask = Ask::Configuration { known_revision };
-        match self.ask(version, member, ask, QUICK_TIMEOUT_MS).await {
+        match self.ask(version, member, ask, MEMORY_TIMEOUT_MS).await {
             Ok(Answer::Configuration(found)) => Some(found),
             _ => None,
         }
     }
 
-    /// Tells the first member of the own availability zone that this instance is there. Returns
-    /// how many entry instances of the zone are, or none if no member of the zone answers.
+    /// Reports the presence of this instance to the first member of its availability zone. Returns
+    /// how many entry instances of the zone the member knows and how many are present, or `None`
+    /// if no member of the zone answers.
     pub async fn zone_presence(&self, instance: &str) -> Option<ZonePresence> {
         let member = self.nearest_first("presence").into_iter().next();
         let member =
@@ -494,22 +523,26 @@
             instance: instance.to_string(),
         };
         let version = self.group().version;
-        match self.ask(version, &member, ask, QUICK_TIMEOUT_MS).await {
+        match self.ask(version, &member, ask, MEMORY_TIMEOUT_MS).await {
             Ok(Answer::Presence(presence)) => Some(presence),
             _ => None,
         }
     }
 
-    /// Changes of endpoints from one of the nearest members.
+    /// Reads the changes of endpoints since `known` from one of the nearest members.
     pub async fn endpoints(&self, known: EndpointCursor) -> Option<SharedEndpoints> {
         let nearest = self
             .nearest_first("endpoints")
             .into_iter()
-            .take(SHARING_MEMBERS);
+            .take(ENDPOINT_SOURCES);
         for member in nearest {
             let version = self.group().version;
-            let asked =
-                self.ask(version, &member, Ask::Endpoints { known }, QUICK_TIMEOUT_MS);
+            let asked = self.ask(
+                version,
+                &member,
+                Ask::Endpoints { known },
+                MEMORY_TIMEOUT_MS,
+            );
             if let Ok(Answer::Endpoints(endpoints)) = asked.await {
                 return Some(endpoints);
             }
--- a/crates/gateway/src/edge/mod.rs
+++ b/crates/gateway/src/edge/mod.rs
@@ -1,4 +1,7 @@
-//! An entry instance: takes callers' requests and sends each to an endpoint.
+//! The entry instance: a reverse proxy that authenticates callers' requests, applies rate
+//! limits and token budgets, and sends each request to an endpoint.
+//!
+//! All state is in `Edge`, shared by the tasks of one single-threaded event loop.
 
 mod admission;
 mod body;
@@ -25,8 +28,8 @@
 use crate::clock::now_ms;
 use crate::config::Configuration;
 use crate::directory::MetadataStore;
-use crate::edge::call::Admitted;
-use crate::edge::exchange::Outgoing;
+use crate::edge::call::AdmittedCall;
+use crate::edge::exchange::OutgoingRequest;
 use crate::edge::pool::Pool;
 use crate::edge::refusal::Refusal;
 use crate::edge::turn_cache::TurnCache;
@@ -42,38 +45,43 @@
 pub use listen::run;
 pub use members::{ChainLookup, Members, NoQuorum};
 
-/// Programs whose last endpoint is remembered. A program lasts a few seconds.
-const MOST_AFFINITIES: usize = 4_096;
+/// Number of programs whose last endpoint is remembered. All entries are dropped when it is
+/// reached, which is acceptable because a program lasts only a few seconds.
+const MAX_AFFINITIES: usize = 4_096;
 
-/// A configuration that was proven the newest within this part of the time in which changes
-/// must be in force may be used to tell callers that something does not exist.
-const RECENT_PART: f64 = 0.9;
+/// Fraction of `Bounds::configuration_ms`. A configuration that was confirmed to be current
+/// within this time may be used to tell callers that a route or key does not exist.
+const RECENT_FRACTION: f64 = 0.9;
 
-/// All state of an entry instance.
+/// The state of an entry instance.
 pub(crate) struct Edge {
     pub settings: NodeSettings,
     pub protocol: Box<dyn CallProtocol>,
     pub store: Box<dyn MetadataStore>,
     configuration: RefCell<Rc<Configuration>>,
-    /// Store revision of the configuration. 0 before the first one.
+    /// Revision of the configuration in the metadata store. 0 until one has been read.
     configuration_revision: Cell<u64>,
     pub freshness: RefCell<Freshness>,
     pub balancer: RefCell<Balancer>,
     pub pool: RefCell<Pool>,
     pub members: Rc<Members>,
-    /// When the store may be called again after it failed.
+    /// Delays calls to the metadata store after one has failed.
     store_backoff: RefCell<Backoff>,
     quota: RefCell<QuotaStock>,
-    /// Customers that no member has tokens for, until this time.
-    over_rate_until_ms: RefCell<HashMap<String, u64>>,
+    /// By customer: until when requests are refused without asking the members, which have all
+    /// just replied that the customer has no tokens left.
+    refused_until_ms: RefCell<HashMap<String, u64>>,
     pub turns: RefCell<TurnCache>,
-    /// The endpoint that ran a program's last turn.
+    /// By program: the endpoint that handled its last request. The next one prefers it.
     pub affinity: RefCell<HashMap<String, String>>,
+    /// Set once a list of endpoints has been received, even an empty one.
     has_endpoints: Cell<bool>,
-    /// Most entry instances of the zone are cut off, so callers are better served elsewhere.
-    is_zone_mostly_away: Cell<bool>,
+    /// Most entry instances of the zone have lost contact with its member. The load balancer
+    /// should then send callers to other zones.
+    is_zone_mostly_disconnected: Cell<bool>,
     is_stopping: Cell<bool>,
-    answer_log: RefCell<LineBudget>,
+    /// Limits the log lines for successful responses. Those beyond it are only counted.
+    response_log_budget: RefCell<LineBudget>,
     pub metrics: Metrics,
 }
 
@@ -104,13 +112,13 @@
             members: Rc::new(Members::new(&zone, Box::<Links>::default())),
             store_backoff: RefCell::default(),
             quota: RefCell::default(),
-            over_rate_until_ms: RefCell::default(),
+            refused_until_ms: RefCell::default(),
             turns: RefCell::default(),
             affinity: RefCell::default(),
             has_endpoints: Cell::new(false),
-            is_zone_mostly_away: Cell::new(false),
+            is_zone_mostly_disconnected: Cell::new(false),
             is_stopping: Cell::new(false),
-            answer_log: RefCell::default(),
+            response_log_budget: RefCell::default(),
             metrics: Metrics::new(),
         }
     }
@@ -119,26 +127,27 @@
         Rc::clone(&self.configuration.borrow())
     }
 
-    /// Whether the configuration is so new that what it does not name does not exist.
+    /// Whether the configuration is fresh enough to conclude that a route or key which it lacks
+    /// does not exist.
     pub(crate) fn is_configuration_recent(&self) -> bool {
-        let bound_ms = self.settings.bounds.configuration_ms as f64 * RECENT_PART;
+        let bound_ms = self.settings.bounds.configuration_ms as f64 * RECENT_FRACTION;
         let age_ms = self.freshness.borrow().age_ms(now_ms());
         age_ms.is_some_and(|age_ms| (age_ms as f64) < bound_ms)
     }
 
-    /// Whether callers should be sent here.
+    /// The state reported to the load balancer's readiness check.
     fn is_ready(&self) -> bool {
         let revocation_ms = self.settings.bounds.revocation_ms;
         !self.is_stopping.get()
             && self.has_endpoints.get()
-            && !self.is_zone_mostly_away.get()
+            && !self.is_zone_mostly_disconnected.get()
             && self.configuration_revision.get() > 0
             && self.members.contact().is_ready(now_ms())
             && self.freshness.borrow().admits(now_ms(), revocation_ms)
     }
 
-    /// An endpoint began to answer `elapsed_ms` after the request was sent.
-    pub(crate) fn endpoint_answered(
+    /// Tells the balancer that an endpoint responded `elapsed_ms` after the request was sent.
+    pub(crate) fn record_endpoint_response(
         &self,
         pick: &Pick,
         status: StatusCode,
@@ -151,23 +160,25 @@
         }
     }
 
-    /// An endpoint gave no usable answer.
-    pub(crate) fn endpoint_failed(
+    /// Counts a send without a usable response against the endpoint. Returns `outcome`.
+    pub(crate) fn record_endpoint_failure(
         &self,
         pick: &Pick,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         outcome: Outcome,
         reason: &str,
     ) -> Outcome {
         self.balancer.borrow_mut().fail(now_ms(), pick.key);
-        self.note_outcome(pick, outgoing, outcome, reason);
+        self.record_failed_send(pick, outgoing, outcome, reason);
         outcome
     }
 
-    pub(crate) fn note_outcome(
+    /// Logs a failed send and counts it in the metrics. Unlike `record_endpoint_failure`, it does
+    /// not tell the balancer: an endpoint that rejects a request has not failed.
+    pub(crate) fn record_failed_send(
         &self,
         pick: &Pick,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         outcome: Outcome,
         reason: &str,
     ) {
@@ -179,20 +190,21 @@
         );
     }
 
-    /// An endpoint began to answer.
-    fn note_answer(&self, admitted: &Admitted, pick: &Pick, status: StatusCode) {
+    /// Records the start of an endpoint's response: metrics, log, and the program's affinity to
+    /// the endpoint. Failure responses are always logged, successes within the log budget.
+    fn record_response(&self, admitted: &AdmittedCall, pick: &Pick, status: StatusCode) {
         let elapsed_ms = now_ms().saturating_sub(admitted.arrived_ms);
         let customer = admitted.outgoing.customer.as_deref().unwrap_or_default();
         self.metrics
             .answered(&admitted.route.name, customer, elapsed_ms);
         if let Some(program) = &admitted.call.program {
             let mut affinity = self.affinity.borrow_mut();
-            if affinity.len() >= MOST_AFFINITIES {
+            if affinity.len() >= MAX_AFFINITIES {
                 affinity.clear();
             }
             affinity.insert(program.id.clone(), pick.id.clone());
         }
-        if status.is_success() && !self.answer_log.borrow_mut().take(now_ms()) {
+        if status.is_success() && !self.response_log_budget.borrow_mut().take(now_ms()) {
             return;
         }
         log::info!(
@@ -208,37 +220,39 @@
         );
     }
 
-    fn note_complete(&self, admitted: &Admitted) {
+    /// Records the duration of a stream that reached its end.
+    fn record_stream_end(&self, admitted: &AdmittedCall) {
         let elapsed_ms = now_ms().saturating_sub(admitted.arrived_ms);
         self.metrics.streamed(&admitted.route.name, elapsed_ms);
     }
 
-    /// Says how many answers were left out of the log since the last time.
-    fn sum_up_log(&self) {
-        let count = self.answer_log.borrow_mut().sum_up();
+    /// Logs how many successful responses were left out of the log since the last call.
+    fn log_omitted_responses(&self) {
+        let count = self.response_log_budget.borrow_mut().sum_up();
         if count > 0 {
             log::info!("event=answered_summed count={count}");
         }
     }
 
-    /// The request gets an answer of this instance. The line holds what such decisions rest
-    /// on: versions and ages of the configuration and of the contact with the group.
-    fn note_refusal(&self, about: &CallSummary, refusal: &Refusal) {
+    /// Logs and counts a request that this instance refused. The log line contains the inputs of
+    /// the decision: the version and age of the configuration, the customer's limits, and the
+    /// version of the group with the time since a quorum last answered.
+    fn log_refusal(&self, request: &RequestLogFields, refusal: &Refusal) {
         self.metrics.refused(refusal.reason);
         let now_ms = now_ms();
         let configuration = self.configuration();
-        let customer = configuration.customers.get(&about.customer);
+        let customer = configuration.customers.get(&request.customer);
         let limit = customer.map(|customer| customer.limit);
         log::info!(
             "event=refused request={} program={} customer={} status={} reason={} ran={} \
              retry_after_ms={} limit_per_s={} limit_burst={} configuration_version={} \
              configuration_age_ms={} group_version={} group_silence_ms={} elapsed_ms={}",
-            about.request_id,
-            about.program,
-            about.customer,
+            request.request_id,
+            request.program,
+            request.customer,
             refusal.status.as_u16(),
             refusal.reason,
-            if refusal.is_promise() {
+            if refusal.guarantees_not_run() {
                 "no"
             } else {
                 "unknown"
@@ -250,12 +264,12 @@
             OrNone(self.freshness.borrow().age_ms(now_ms)),
             self.members.group().version,
             OrNone(self.members.contact().silence_ms(now_ms)),
-            now_ms.saturating_sub(about.arrived_ms),
+            now_ms.saturating_sub(request.arrived_ms),
         );
     }
 }
 
-/// A value in a log line, or `none`.
+/// Formats an optional value for a log line; an absent one as `none`.
 struct OrNone<T>(Option<T>);
 
 impl<T: fmt::Display> fmt::Display for OrNone<T> {
@@ -267,53 +281,56 @@
     }
 }
 
-/// What log lines tell of a request.
-struct CallSummary {
+/// Identifies a request in log lines. An unknown program or customer is `none`.
+struct RequestLogFields {
     request_id: String,
     program: String,
     customer: String,
     arrived_ms: u64,
 }
 
-/// Logs that the caller left, if it is dropped before the answer has begun.
-struct Unanswered {
-    about: CallSummary,
-    /// The endpoint that it was sent to last.
+/// Logs that the caller disconnected, unless `disarm` was called first.
+///
+/// When the caller's connection closes, hyper drops the future that handles the request, and
+/// this value with it.
+struct DisconnectLogger {
+    request: RequestLogFields,
+    /// The endpoint to which the request was last sent. Shared with `AdmittedCall`.
     endpoint: Rc<RefCell<Option<String>>>,
-    is_answered: bool,
+    is_disarmed: bool,
 }
 
-impl Unanswered {
-    /// The answer begins.
-    fn close(mut self) {
-        self.is_answered = true;
+impl DisconnectLogger {
+    /// Called when the response is ready to be sent.
+    fn disarm(mut self) {
+        self.is_disarmed = true;
     }
 }
 
-impl Drop for Unanswered {
+impl Drop for DisconnectLogger {
     fn drop(&mut self) {
-        if self.is_answered {
+        if self.is_disarmed {
             return;
         }
         log::info!(
             "event=caller_gone request={} program={} customer={} endpoint={} last_event=none \
              elapsed_ms={}",
-            self.about.request_id,
-            self.about.program,
-            self.about.customer,
+            self.request.request_id,
+            self.request.program,
+            self.request.customer,
             OrNone(self.endpoint.borrow().as_deref()),
-            now_ms().saturating_sub(self.about.arrived_ms),
+            now_ms().saturating_sub(self.request.arrived_ms),
         );
     }
 }
 
-impl CallSummary {
-    fn new(edge: &Edge, call: &CallHead, arrived_ms: u64) -> CallSummary {
+impl RequestLogFields {
+    fn new(edge: &Edge, call: &CallHead, arrived_ms: u64) -> RequestLogFields {
         let configuration = edge.configuration();
         let key = call.key.as_deref();
         let customer = key.and_then(|key| configuration.customer_of(key));
         let program = call.program.as_ref();
-        CallSummary {
+        RequestLogFields {
             request_id: call.request_id.clone(),
             program: program
                 .map_or_else(|| "none".to_string(), |program| program.id.clone()),
--- a/crates/gateway/src/edge/pool.rs
+++ b/crates/gateway/src/edge/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints that wait for their next request.
+//! Pool of idle connections to endpoints.
 
 use std::collections::HashMap;
 
@@ -7,15 +7,16 @@
 use crate::balance::EndpointKey;
 use crate::http_link::HttpLink;
 
-/// How long an idle connection is used if the endpoint does not tell, in milliseconds.
+/// Keep-alive time assumed if the endpoint's response states none, in milliseconds.
 const DEFAULT_IDLE_MS: u64 = 4_000;
 
-/// A connection is not used in the last part of the time that the endpoint keeps it, in
-/// milliseconds, so that a request does not cross its closing.
+/// A connection is no longer used this long before the endpoint's keep-alive time ends, in
+/// milliseconds, so that a request is not sent while the endpoint closes the connection.
 const IDLE_MARGIN_MS: u64 = 400;
 
+/// A connection that carries no request.
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     link: HttpLink,
     usable_until_ms: u64,
 }
@@ -23,11 +24,12 @@
 /// Idle connections by endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
-    idle: HashMap<EndpointKey, Vec<Idle>>,
+    /// The connection used last is at the end.
+    idle: HashMap<EndpointKey, Vec<IdleConnection>>,
 }
 
 impl Pool {
-    /// The connection that was used last and can be used now.
+    /// Removes and returns the most recently used connection that can still carry a request.
     pub(crate) fn take(&mut self, now_ms: u64, key: EndpointKey) -> Option<HttpLink> {
         let idle = self.idle.get_mut(&key)?;
         while let Some(last) = idle.pop() {
@@ -38,37 +40,38 @@
         None
     }
 
-    /// Keeps a connection whose answer was complete.
+    /// Adds a connection whose last response was read completely. Closes it if the endpoint
+    /// already has `max_idle` idle connections here. `idle_ms` is the endpoint's keep-alive time.
     pub(crate) fn put(
         &mut self,
         now_ms: u64,
         key: EndpointKey,
         link: HttpLink,
         idle_ms: u64,
-        most_idle: usize,
+        max_idle: usize,
     ) {
         let usable_until_ms = now_ms + idle_ms.saturating_sub(IDLE_MARGIN_MS);
         let idle = self.idle.entry(key).or_default();
-        if idle.len() >= most_idle {
+        if idle.len() >= max_idle {
             link.close();
             return;
         }
-        idle.push(Idle {
+        idle.push(IdleConnection {
             link,
             usable_until_ms,
         });
     }
 
-    /// Closes connections that cannot be used any more, and those of endpoints that are gone.
-    pub(crate) fn sweep(&mut self, now_ms: u64, is_there: impl Fn(EndpointKey) -> bool) {
+    /// Closes expired connections and those of endpoints for which `is_known` is false.
+    pub(crate) fn sweep(&mut self, now_ms: u64, is_known: impl Fn(EndpointKey) -> bool) {
         self.idle.retain(|key, idle| {
-            idle.retain(|one| one.usable_until_ms > now_ms && !one.link.is_closed());
-            !idle.is_empty() && is_there(*key)
+            idle.retain(|idle| idle.usable_until_ms > now_ms && !idle.link.is_closed());
+            !idle.is_empty() && is_known(*key)
         });
     }
 }
 
-/// How long the endpoint keeps a connection after this answer, in milliseconds.
+/// The endpoint's keep-alive time from the `Keep-Alive: timeout=SECONDS` header, in milliseconds.
 pub(crate) fn idle_ms(headers: &HeaderMap) -> u64 {
     let value = headers
         .get("keep-alive")
--- a/crates/gateway/src/edge/quota.rs
+++ b/crates/gateway/src/edge/quota.rs
@@ -1,4 +1,7 @@
-//! Tokens of customers' rates, taken from the members of the group.
+//! Rate-limit tokens of customers, granted by the members of the storage group.
+//!
+//! For customers that send steadily, tokens are fetched in advance, so that most requests need
+//! no round trip to a member.
 
 use std::rc::Rc;
 
@@ -9,28 +12,31 @@
 use crate::edge::refusal::Refusal;
 use crate::quota_stock::StockToken;
 
-/// Pause between two requests for tokens in advance, in milliseconds.
+/// Interval at which tokens are fetched in advance, in milliseconds.
 pub(crate) const REFILL_INTERVAL_MS: u64 = 150;
 
-/// Tokens are taken in advance for this time, in milliseconds: until the next refill has
-/// come, and a little less than tokens live.
-const AHEAD_MS: u64 = 250;
+/// Tokens are fetched to cover the demand of this time, in milliseconds: long enough to last
+/// until the next refill arrives, and slightly shorter than the lifetime of a token.
+const PREFETCH_MS: u64 = 250;
 
-/// After all members had no token, a customer is refused for this time without asking, in
-/// milliseconds: about the time in which a small customer earns one.
-const OVER_RATE_PAUSE_MS: u64 = 40;
+/// After all members have replied that a customer has no tokens, its requests are refused for
+/// this time without asking again, in milliseconds: about the time in which a customer with a
+/// low rate earns one token.
+const REFUSAL_CACHE_MS: u64 = 40;
 
-/// Shortest Retry-After for a customer over its rate, in milliseconds.
-const LEAST_RETRY_MS: u64 = 200;
+/// Lower bound of Retry-After for a customer over its rate limit, in milliseconds.
+const MIN_RETRY_AFTER_MS: u64 = 200;
 
-/// Longest Retry-After for a customer over its rate, in milliseconds.
-const MOST_RETRY_MS: u64 = 1_000;
+/// Upper bound of Retry-After for a customer over its rate limit, in milliseconds.
+const MAX_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Retry-After while no member answers, in milliseconds.
-const NO_MEMBER_RETRY_MS: u64 = 300;
+/// Retry-After while no member can be reached for tokens, in milliseconds.
+const NO_MEMBER_RETRY_AFTER_MS: u64 = 300;
 
 impl Edge {
-    /// Takes the token of one request. Returns the one that it took from the stock, if any.
+    /// Consumes a rate-limit token for one request, from the local stock or from a member.
+    /// Returns the token if it came from the local stock. Customers without a rate limit need
+    /// none.
     pub(crate) async fn take_quota(
         self: &Rc<Self>,
         want: QuotaWant,
@@ -44,21 +50,24 @@
         if held.is_some() {
             return Ok(held);
         }
-        let until_ms = self.over_rate_until_ms.borrow().get(customer).copied();
+        let until_ms = self.refused_until_ms.borrow().get(customer).copied();
         let is_paused = until_ms.is_some_and(|until_ms| now_ms() < until_ms);
-        // Members may know that a program has begun, of which this instance knows nothing.
+        // A program may have begun through another instance. Only the members know that, so a
+        // request of a program is always passed on to them.
         if is_paused && want.program.is_none() {
             return Err(over_rate(limit));
         }
         self.take_from_members(want, version).await.map(|()| None)
     }
 
-    /// A request that had a token, held here or not, did not run.
+    /// Called when a request that consumed a token did not run. `token` is `None` if a member
+    /// granted it directly.
     pub(crate) fn return_token(&self, customer: &str, token: Option<StockToken>) {
         let mut stock = self.quota.borrow_mut();
         stock.take_back(now_ms(), customer, token);
     }
 
+    /// Asks the members one after another, until one grants a token.
     async fn take_from_members(
         self: &Rc<Self>,
         want: QuotaWant,
@@ -76,20 +85,23 @@
         }
         match has_answer {
             true => {
-                let until_ms = now_ms() + OVER_RATE_PAUSE_MS;
-                let mut paused = self.over_rate_until_ms.borrow_mut();
+                let until_ms = now_ms() + REFUSAL_CACHE_MS;
+                let mut paused = self.refused_until_ms.borrow_mut();
                 paused.insert(want.customer, until_ms);
                 Err(over_rate(want.limit))
             }
-            false => Err(Refusal::not_now("quota_unreachable", NO_MEMBER_RETRY_MS)),
+            false => Err(Refusal::retry_later(
+                "quota_unreachable",
+                NO_MEMBER_RETRY_AFTER_MS,
+            )),
         }
     }
 
-    /// Takes tokens in advance for customers that send steadily.
+    /// Fetches tokens in advance for customers with recent demand.
     pub(crate) async fn refill_quota(self: &Rc<Self>) {
         let configuration = self.configuration();
-        let wanted = self.quota.borrow_mut().wanted(now_ms(), AHEAD_MS);
-        let mut wants: Vec<QuotaWant> = wanted
+        let requested = self.quota.borrow_mut().wanted(now_ms(), PREFETCH_MS);
+        let mut wants: Vec<QuotaWant> = requested
             .into_iter()
             .filter_map(|(customer, requests)| {
                 let limit = configuration.customers.get(&customer)?.limit;
@@ -120,8 +132,9 @@
     }
 }
 
-/// A customer may come back when its rate has earned a few tokens.
+/// Refuses a request over the rate limit. Retry-After is the time in which the customer earns
+/// four tokens, within the bounds above.
 fn over_rate(limit: RateLimit) -> Refusal {
-    let retry_ms = (4_000.0 / limit.rate_per_s.max(0.1)) as u64;
-    Refusal::over_rate(retry_ms.clamp(LEAST_RETRY_MS, MOST_RETRY_MS))
+    let retry_after_ms = (4_000.0 / limit.rate_per_s.max(0.1)) as u64;
+    Refusal::over_rate(retry_after_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS))
 }
--- a/crates/gateway/src/edge/refusal.rs
+++ b/crates/gateway/src/edge/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers that an entry instance gives by itself.
+//! Error responses that an entry instance generates itself, without one from an endpoint.
 
 use bytes::Bytes;
 use hyper::header::{CONNECTION, CONTENT_TYPE, RETRY_AFTER};
@@ -6,86 +6,94 @@
 
 use crate::edge::body::CallBody;
 
-/// Whether a request that failed has run.
+/// Whether an endpoint has run a request that failed. Callers are told, so that they know
+/// whether repeating it is safe.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Ran {
-    /// It has not and never will.
+pub(crate) enum HasRun {
+    /// No endpoint has run it or will.
     No,
-    /// It may have.
+    /// An endpoint may have run it.
     Unknown,
 }
 
-/// Why a request gets no answer of an endpoint.
+/// A request that gets no response from an endpoint, and what the caller is told.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Refusal {
     pub status: StatusCode,
-    /// Short name for logs, metrics and the answer's body.
+    /// Error code in the response body, in logs and in metrics.
     pub reason: &'static str,
-    /// When the caller may come back.
+    /// When the caller may retry. Sent as Retry-After in seconds with two decimals.
     pub retry_after_ms: Option<u64>,
-    pub ran: Ran,
-    /// Callers should come back on a new connection, which may lead elsewhere.
-    pub closes: bool,
+    pub ran: HasRun,
+    /// Close the connection after the response, so that a retry opens a new one, which may reach
+    /// another instance.
+    pub closes_connection: bool,
 }
 
 impl Refusal {
-    /// The request has not run. Coming back later may help.
-    pub(crate) fn not_now(reason: &'static str, retry_after_ms: u64) -> Refusal {
+    /// Status 503: the request has not run, and a later retry may succeed.
+    pub(crate) fn retry_later(reason: &'static str, retry_after_ms: u64) -> Refusal {
         Refusal {
             status: StatusCode::SERVICE_UNAVAILABLE,
             reason,
             retry_after_ms: Some(retry_after_ms),
-            ran: Ran::No,
-            closes: false,
+            ran: HasRun::No,
+            closes_connection: false,
         }
     }
 
-    /// The customer is over its rate.
+    /// Status 429: the customer has used up its rate limit.
     pub(crate) fn over_rate(retry_after_ms: u64) -> Refusal {
         Refusal {
             status: StatusCode::TOO_MANY_REQUESTS,
             reason: "over_rate",
             retry_after_ms: Some(retry_after_ms),
-            ran: Ran::No,
-            closes: false,
+            ran: HasRun::No,
+            closes_connection: false,
         }
     }
 
-    /// The request has not run and coming back will not help.
+    /// The request has not run, and a retry would be refused again.
     pub(crate) fn denied(status: StatusCode, reason: &'static str) -> Refusal {
         Refusal {
             status,
             reason,
             retry_after_ms: None,
-            ran: Ran::No,
-            closes: false,
+            ran: HasRun::No,
+            closes_connection: false,
         }
     }
 
-    /// It is not known whether the request has run.
-    pub(crate) fn unknown(status: StatusCode, reason: &'static str) -> Refusal {
+    /// The request may have run, so there is no Retry-After.
+    pub(crate) fn outcome_unknown(status: StatusCode, reason: &'static str) -> Refusal {
         Refusal {
             status,
             reason,
             retry_after_ms: None,
-            ran: Ran::Unknown,
-            closes: false,
+            ran: HasRun::Unknown,
+            closes_connection: false,
         }
     }
 
-    /// The reason lies in this instance, so callers should try another.
-    pub(crate) fn moving_on(self) -> Refusal {
+    /// The cause is specific to this instance: closes the connection so that a retry can reach
+    /// another one.
+    pub(crate) fn closing_connection(self) -> Refusal {
         Refusal {
-            closes: true,
+            closes_connection: true,
             ..self
         }
     }
 
-    /// The answer for the caller.
+    /// Whether the caller is told for certain that the request has not run.
+    pub(crate) fn guarantees_not_run(&self) -> bool {
+        self.ran == HasRun::No
+    }
+
+    /// Builds the HTTP response for the caller.
     pub(crate) fn response(&self) -> Response<CallBody> {
         let ran = match self.ran {
-            Ran::No => "no",
-            Ran::Unknown => "unknown",
+            HasRun::No => "no",
+            HasRun::Unknown => "unknown",
         };
         let content = format!(
             "{{\"error\":{{\"code\":\"{}\",\"ran\":\"{ran}\"}}}}\n",
@@ -98,7 +106,7 @@
             CONTENT_TYPE,
             hyper::header::HeaderValue::from_static("application/json"),
         );
-        if self.closes {
+        if self.closes_connection {
             headers.insert(CONNECTION, hyper::header::HeaderValue::from_static("close"));
         }
         let retry_after = self
--- a/crates/gateway/src/edge/stream.rs
+++ b/crates/gateway/src/edge/stream.rs
@@ -1,5 +1,5 @@
-//! Streams: events are handed on as they come, and a stream that breaks off goes on at
-//! another endpoint where its route allows that.
+//! Streamed responses: events are forwarded to the caller as they arrive. If the stream of an
+//! endpoint is interrupted, another endpoint continues it where the route allows that.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,26 +13,28 @@
 use tokio::sync::mpsc;
 
 use crate::clock::now_ms;
-use crate::edge::body::{CallBody, Piece};
-use crate::edge::call::{Admitted, pick_endpoint, refusal_after};
-use crate::edge::exchange::{Answered, Lease, send};
+use crate::edge::body::{BodyChunk, CallBody};
+use crate::edge::call::{AdmittedCall, final_refusal, pick_endpoint};
+use crate::edge::exchange::{EndpointResponse, PooledConnection, send};
 use crate::edge::refusal::Refusal;
 use crate::edge::{Edge, OrNone};
 use crate::events::{EventReader, StreamEvent};
 use crate::retry::{Attempt, Outcome, Step};
 
-/// Events that wait for a caller that reads slowly.
+/// Events buffered for a caller that reads slowly. Reading from the endpoint stops while the
+/// buffer is full.
 const QUEUED_EVENTS: usize = 16;
 
-/// Tokens reserved for a turn. Dropping it tells what was used.
-pub(crate) struct BudgetHold {
+/// Tokens reserved for a turn in its program's budget. Dropping it reports the tokens that were
+/// used to the members, which release the rest.
+pub(crate) struct BudgetReservation {
     edge: Rc<Edge>,
     settlement: Settlement,
 }
 
-impl BudgetHold {
-    pub(crate) fn new(edge: &Rc<Edge>, reservation: &Reservation) -> BudgetHold {
-        BudgetHold {
+impl BudgetReservation {
+    pub(crate) fn new(edge: &Rc<Edge>, reservation: &Reservation) -> BudgetReservation {
+        BudgetReservation {
             edge: Rc::clone(edge),
             settlement: Settlement {
                 program: reservation.program.clone(),
@@ -42,56 +44,65 @@
         }
     }
 
+    /// Counts tokens as used.
     fn charge(&mut self, tokens: u32) {
         self.settlement.used_tokens += tokens;
     }
 }
 
-impl Drop for BudgetHold {
+impl Drop for BudgetReservation {
     fn drop(&mut self) {
         self.edge.members.settle(&self.settlement);
     }
 }
 
-/// A streamed request on its way.
+/// A streamed request and its progress over all endpoints that have worked on it.
 pub(crate) struct StreamCall {
     edge: Rc<Edge>,
-    admitted: Admitted,
-    hold: Option<BudgetHold>,
-    keep: Option<TurnRecord>,
+    admitted: AdmittedCall,
+    /// `None` if the program has no token budget.
+    reservation: Option<BudgetReservation>,
+    /// The turn to store when the stream is complete, still without its output. `None` on routes
+    /// that do not keep turns.
+    unfinished_turn: Option<TurnRecord>,
     attempt: Attempt,
+    /// Identifiers of the endpoints to which it was sent, the current one last.
     tried: Vec<String>,
+    /// Identifier of the last event queued for the caller. Another endpoint continues after it.
     last_event_id: Option<u64>,
+    /// Data of the events so far, if the turn is kept.
     output: BytesMut,
 }
 
-/// A run at one endpoint.
-struct Run {
+/// The response stream of one endpoint.
+struct EndpointStream {
     body: Incoming,
-    lease: Lease,
+    connection: PooledConnection,
     reader: EventReader,
 }
 
-/// What a run says next.
-enum Next {
+/// What was read next from an endpoint's stream.
+enum StreamProgress {
     Events(Vec<StreamEvent>),
+    /// The stream is complete.
     End,
-    BrokenOff(&'static str),
+    /// It cannot be read further, for this reason.
+    Interrupted(&'static str),
 }
 
 impl StreamCall {
     pub(crate) fn new(
         edge: &Rc<Edge>,
-        admitted: Admitted,
-        hold: Option<BudgetHold>,
-        keep: Option<TurnRecord>,
+        admitted: AdmittedCall,
+        reservation: Option<BudgetReservation>,
+        unfinished_turn: Option<TurnRecord>,
     ) -> StreamCall {
         StreamCall {
             edge: Rc::clone(edge),
             last_event_id: admitted.call.last_event_id,
             admitted,
-            hold,
-            keep,
+            reservation,
+            unfinished_turn,
             attempt: Attempt::default(),
             tried: Vec::new(),
             output: BytesMut::new(),
@@ -102,38 +113,42 @@
         self.admitted.route.kind.may_run_again()
     }
 
-    /// Sends the request to endpoints until one begins to answer.
-    async fn start(&mut self) -> Result<Answered, Refusal> {
+    /// Sends the request to endpoints until one begins a response.
+    async fn start(&mut self) -> Result<EndpointResponse, Refusal> {
         loop {
             let pick =
                 pick_endpoint(&self.edge, &self.admitted, &self.attempt, &self.tried)?;
             self.tried.push(pick.id.clone());
             let sent_ms = now_ms();
-            let times = self.admitted.send_times(&self.attempt);
+            let timeouts = self.admitted.send_timeouts(&self.attempt);
             let outgoing = &self.admitted.outgoing;
-            let answered =
-                send(&self.edge, &pick, outgoing, self.last_event_id, times).await;
-            let outcome = match answered {
-                Ok(answered) => {
+            let upstream =
+                send(&self.edge, &pick, outgoing, self.last_event_id, timeouts).await;
+            let outcome = match upstream {
+                Ok(upstream) => {
                     let elapsed_ms = now_ms() - sent_ms;
+                    self.edge.record_endpoint_response(
+                        &pick,
+                        upstream.status,
+                        elapsed_ms,
+                    );
                     self.edge
-                        .endpoint_answered(&pick, answered.status, elapsed_ms);
-                    self.edge
-                        .note_answer(&self.admitted, &pick, answered.status);
-                    return Ok(answered);
+                        .record_response(&self.admitted, &pick, upstream.status);
+                    return Ok(upstream);
                 }
                 Err(outcome) => outcome,
             };
             match self.attempt.next(self.admitted.policy(), outcome) {
                 Step::SendAgain => {}
-                step => return Err(refusal_after(&self.admitted, step)),
+                step => return Err(final_refusal(&self.admitted, step)),
             }
         }
     }
 
-    /// The run broke off. Whether another endpoint may go on.
-    fn may_go_on(&mut self, run: &Run, reason: &str) -> bool {
-        let key = run.lease.key();
+    /// Logs an interruption and counts it against the endpoint. Returns whether the retry policy
+    /// allows another endpoint to continue.
+    fn may_resume_after(&mut self, stream: &EndpointStream, reason: &str) -> bool {
+        let key = stream.connection.key();
         self.edge.balancer.borrow_mut().fail(now_ms(), key);
         let step = self.attempt.next(self.admitted.policy(), Outcome::Unknown);
         log::info!(
@@ -147,41 +162,45 @@
         step == Step::SendAgain
     }
 
-    /// Records events that are handed to the caller.
+    /// Charges the budget for an event that is about to be queued for the caller, and adds its data
+    /// to the turn's output.
     fn record(&mut self, event: &StreamEvent) {
-        if let Some(hold) = &mut self.hold {
-            hold.charge(self.admitted.event_tokens);
+        if let Some(reservation) = &mut self.reservation {
+            reservation.charge(self.admitted.event_tokens);
         }
-        if let (Some(_), Some(data)) = (&self.keep, &event.data) {
+        if let (Some(_), Some(data)) = (&self.unfinished_turn, &event.data) {
             self.output.extend_from_slice(data);
             self.output.extend_from_slice(b"\n");
         }
         self.last_event_id = event.id.or(self.last_event_id);
     }
 
-    /// The next events of a run.
-    async fn next(&self, run: &mut Run) -> Next {
+    /// Reads the next events, or the end of the stream. Stops at the caller's deadline.
+    async fn next(&self, stream: &mut EndpointStream) -> StreamProgress {
         loop {
             let time_left = Duration::from_millis(self.admitted.time_left_ms());
-            let frame = match tokio::time::timeout(time_left, run.body.frame()).await {
-                Err(_) => return Next::BrokenOff("timed out"),
-                Ok(None) if run.reader.is_at_boundary() => return Next::End,
-                Ok(None) => return Next::BrokenOff("ended within an event"),
-                Ok(Some(Err(_))) => return Next::BrokenOff("connection broke"),
+            let frame = match tokio::time::timeout(time_left, stream.body.frame()).await {
+                Err(_) => return StreamProgress::Interrupted("timed out"),
+                Ok(None) if stream.reader.is_at_boundary() => return StreamProgress::End,
+                Ok(None) => return StreamProgress::Interrupted("ended within an event"),
+                Ok(Some(Err(_))) => {
+                    return StreamProgress::Interrupted("connection lost");
+                }
                 Ok(Some(Ok(frame))) => frame,
             };
             let Ok(bytes) = frame.into_data() else {
                 continue;
             };
-            match run.reader.push(&bytes) {
-                None => return Next::BrokenOff("event too large"),
+            match stream.reader.push(&bytes) {
+                None => return StreamProgress::Interrupted("event too large"),
                 Some(events) if events.is_empty() => {}
-                Some(events) => return Next::Events(events),
+                Some(events) => return StreamProgress::Events(events),
             }
         }
     }
 
-    /// The events that follow the last one, up to one that is out of order.
+    /// Returns the leading events whose identifiers increase, starting from the last one sent, and
+    /// whether these are all events.
     fn events_in_order(&self, events: Vec<StreamEvent>) -> (Vec<StreamEvent>, bool) {
         let mut last = self.last_event_id;
         let total = events.len();
@@ -196,37 +215,39 @@
                 follows
             })
             .collect();
-        let is_whole = valid.len() == total;
-        (valid, is_whole)
+        let are_all_valid = valid.len() == total;
+        (valid, are_all_valid)
     }
 }
 
-/// Runs a stream. The answer begins with the first event.
+/// Runs a streamed request. The response to the caller begins once the first events have arrived,
+/// or the endpoint's stream has ended; until then an interruption can still become an error status.
 pub(crate) async fn run(mut call: StreamCall) -> Result<Response<CallBody>, Refusal> {
     loop {
-        let answered = call.start().await?;
-        let mut run = Run {
-            body: answered.body,
-            lease: answered.lease,
+        let upstream = call.start().await?;
+        let mut stream = EndpointStream {
+            body: upstream.body,
+            connection: upstream.connection,
             reader: EventReader::default(),
         };
-        if !answered.status.is_success() {
-            return pass_on(&call, answered.status, answered.headers, run).await;
+        if !upstream.status.is_success() {
+            return forward_failure(&call, upstream.status, upstream.headers, stream)
+                .await;
         }
-        let first = call.next(&mut run).await;
+        let first = call.next(&mut stream).await;
         match first {
-            Next::BrokenOff(reason) => {
-                if !call.may_go_on(&run, reason) {
-                    return Err(refusal_after(&call.admitted, Step::FailUnknown));
+            StreamProgress::Interrupted(reason) => {
+                if !call.may_resume_after(&stream, reason) {
+                    return Err(final_refusal(&call.admitted, Step::FailUnknown));
                 }
             }
             first => {
-                let mut headers = call.edge.protocol.caller_headers(&answered.headers);
+                let mut headers = call.edge.protocol.caller_headers(&upstream.headers);
                 headers.remove(CONTENT_LENGTH);
                 let (sender, receiver) = mpsc::channel(QUEUED_EVENTS);
-                tokio::task::spawn_local(pump(call, run, first, sender));
+                tokio::task::spawn_local(forward_events(call, stream, first, sender));
                 let mut response = Response::new(CallBody::Streamed(receiver));
-                *response.status_mut() = answered.status;
+                *response.status_mut() = upstream.status;
                 *response.headers_mut() = headers;
                 return Ok(response);
             }
@@ -234,64 +255,65 @@
     }
 }
 
-/// Hands an endpoint's failure to the caller.
-async fn pass_on(
+/// Passes an endpoint's response with an error status on to the caller.
+async fn forward_failure(
     call: &StreamCall,
     status: StatusCode,
     headers: hyper::HeaderMap,
-    run: Run,
+    stream: EndpointStream,
 ) -> Result<Response<CallBody>, Refusal> {
     let time_left = Duration::from_millis(call.admitted.time_left_ms());
-    let collected = tokio::time::timeout(time_left, run.body.collect()).await;
+    let collected = tokio::time::timeout(time_left, stream.body.collect()).await;
     let Ok(Ok(collected)) = collected else {
-        return Err(refusal_after(&call.admitted, Step::FailUnknown));
+        return Err(final_refusal(&call.admitted, Step::FailUnknown));
     };
-    run.lease.finish();
+    stream.connection.release();
     let mut response = Response::new(CallBody::Whole(Some(collected.to_bytes())));
     *response.status_mut() = status;
     *response.headers_mut() = call.edge.protocol.caller_headers(&headers);
     Ok(response)
 }
 
-/// Hands events on until the stream ends, the caller leaves or no endpoint goes on.
-async fn pump(
+/// Forwards events until the stream is complete, the caller disconnects, or no endpoint continues
+/// after an interruption.
+async fn forward_events(
     mut call: StreamCall,
-    mut run: Run,
-    first: Next,
-    sender: mpsc::Sender<Piece>,
+    mut stream: EndpointStream,
+    first: StreamProgress,
+    sender: mpsc::Sender<BodyChunk>,
 ) {
     let mut next = first;
     loop {
-        let broken = match next {
-            Next::Events(events) => {
-                let (events, is_whole) = call.events_in_order(events);
-                if !forward(&mut call, events, &sender).await {
-                    return note_gone(&call);
+        let interruption = match next {
+            StreamProgress::Events(events) => {
+                let (events, are_all_valid) = call.events_in_order(events);
+                if !queue_events(&mut call, events, &sender).await {
+                    return log_caller_gone(&call);
                 }
-                (!is_whole).then_some("events out of order")
+                (!are_all_valid).then_some("events out of order")
             }
-            Next::End => {
-                run.lease.finish();
+            StreamProgress::End => {
+                stream.connection.release();
                 finish(call, &sender).await;
                 return;
             }
-            Next::BrokenOff(reason) => Some(reason),
+            StreamProgress::Interrupted(reason) => Some(reason),
         };
-        if let Some(reason) = broken {
-            let Some(resumed) = resume(&mut call, &run, reason, &sender).await else {
+        if let Some(reason) = interruption {
+            let Some(resumed) = resume(&mut call, &stream, reason, &sender).await else {
                 call.edge.metrics.broken_off();
                 return;
             };
-            run = resumed;
+            stream = resumed;
         }
         next = tokio::select! {
-            next = call.next(&mut run) => next,
-            () = sender.closed() => return note_gone(&call),
+            next = call.next(&mut stream) => next,
+            () = sender.closed() => return log_caller_gone(&call),
         };
     }
 }
 
-fn note_gone(call: &StreamCall) {
+fn log_caller_gone(call: &StreamCall) {
     log::info!(
         "event=caller_gone request={} last_event={} elapsed_ms={}",
         call.admitted.call.request_id,
@@ -300,17 +322,17 @@
     );
 }
 
-/// Queues events for the caller. False if the caller has left, or has not read for the rest
-/// of its time.
-async fn forward(
+/// Queues events for the caller. Returns false if the caller has disconnected, or has not read
+/// until its deadline.
+async fn queue_events(
     call: &mut StreamCall,
     events: Vec<StreamEvent>,
-    sender: &mpsc::Sender<Piece>,
+    sender: &mpsc::Sender<BodyChunk>,
 ) -> bool {
     for event in events {
         call.record(&event);
         let time_left = Duration::from_millis(call.admitted.time_left_ms());
-        let sending = sender.send_timeout(Piece::Content(event.raw), time_left);
+        let sending = sender.send_timeout(BodyChunk::Data(event.raw), time_left);
         if sending.await.is_err() {
             return false;
         }
@@ -318,14 +340,15 @@
     true
 }
 
-/// Goes on at another endpoint after the last event that was handed on.
+/// Continues at another endpoint after the last event that was queued. `None` if that is not
+/// allowed or fails.
 async fn resume(
     call: &mut StreamCall,
-    broken: &Run,
+    interrupted: &EndpointStream,
     reason: &'static str,
-    sender: &mpsc::Sender<Piece>,
-) -> Option<Run> {
-    if !call.may_go_on(broken, reason) || !call.is_resumable() {
+    sender: &mpsc::Sender<BodyChunk>,
+) -> Option<EndpointStream> {
+    if !call.may_resume_after(interrupted, reason) || !call.is_resumable() {
         return None;
     }
     let started = tokio::select! {
@@ -333,19 +356,19 @@
         () = sender.closed() => return None,
     };
     match started {
-        Ok(answered) if answered.status.is_success() => Some(Run {
-            body: answered.body,
-            lease: answered.lease,
+        Ok(upstream) if upstream.status.is_success() => Some(EndpointStream {
+            body: upstream.body,
+            connection: upstream.connection,
             reader: EventReader::default(),
         }),
         _ => None,
     }
 }
 
-/// The stream is complete. A turn that is kept counts only once it is safe, so its end is
-/// told after that.
-async fn finish(mut call: StreamCall, sender: &mpsc::Sender<Piece>) {
-    if let Some(mut record) = call.keep.take() {
+/// Completes the stream. If the turn is kept, the caller gets the end of the body only after
+/// enough members have stored the turn; if that fails, the body is interrupted.
+async fn finish(mut call: StreamCall, sender: &mpsc::Sender<BodyChunk>) {
+    if let Some(mut record) = call.unfinished_turn.take() {
         record.output = Bytes::from(std::mem::take(&mut call.output));
         if call.edge.members.keep_turn(&record).await.is_err() {
             log::warn!(
@@ -358,7 +381,7 @@
         }
         call.edge.turns.borrow_mut().insert(record);
     }
-    call.edge.note_complete(&call.admitted);
-    // If the caller has left, nobody needs the end.
-    let _ = sender.send(Piece::End).await;
+    call.edge.record_stream_end(&call.admitted);
+    // Fails only if the caller has disconnected.
+    let _ = sender.send(BodyChunk::End).await;
 }
--- a/crates/gateway/src/edge/sync.rs
+++ b/crates/gateway/src/edge/sync.rs
@@ -1,4 +1,8 @@
-//! What an entry instance reads from the store and from the group, again and again.
+//! Background tasks of an entry instance: they keep the configuration, the endpoints, the group
+//! and the presence of the zone up to date, fetch rate-limit tokens and close idle connections.
+//!
+//! Configuration and endpoints come from a member, which reads the metadata store on behalf of
+//! all entry instances. The store itself is called only while no member has current data.
 
 use std::rc::Rc;
 
@@ -14,70 +18,71 @@
 use crate::membership::GROUP_RECORD;
 use crate::presence::{PRESENCE_INTERVAL_MS, is_mostly_away};
 
-/// Part of the time in which changes must be in force after which the configuration is read
-/// again. With the age that a member's may have, and a read that fails, this is within it.
-const READ_PART: f64 = 0.3;
+/// Interval at which the configuration is read, as a fraction of `Bounds::configuration_ms`. A
+/// change still takes effect in time if the member's copy is `MAX_SHARED_AGE_MS` old and one read
+/// fails.
+const READ_INTERVAL_FRACTION: f64 = 0.3;
 
-/// Age up to which a member's configuration is taken, in milliseconds: a little more than the
-/// pause between two reads there.
-const MOST_SHARED_AGE_MS: u64 = 1_000;
+/// Largest age at which a member's configuration is accepted, in milliseconds: slightly more
+/// than the interval at which members read it.
+const MAX_SHARED_AGE_MS: u64 = 1_000;
 
-/// Pause after a failed read of the store, in milliseconds.
-const FAILED_READ_PAUSE_MS: u64 = 200;
+/// Pause after a failed read of the metadata store, in milliseconds.
+const FAILED_READ_RETRY_MS: u64 = 200;
 
-/// Age of the proof of freshness from which other instances are asked, in milliseconds:
-/// several reads of the store have failed by then.
-const ASK_OTHERS_AGE_MS: u64 = 2_000;
+/// All members are asked for the configuration if it was last confirmed to be current this long
+/// ago, in milliseconds: several reads of the store have failed by then.
+const ASK_MEMBERS_AGE_MS: u64 = 2_000;
 
-/// Pause between two questions for changes of endpoints, in milliseconds. Together with the
-/// pause between a member's calls a leaving endpoint is known within a second.
+/// Interval at which a member is asked for changes of endpoints, in milliseconds. Together with
+/// the pause between the member's own calls, a draining endpoint is known within one second.
 const SHARED_ENDPOINTS_INTERVAL_MS: u64 = 250;
 
-/// Pause between two looks whether the group's record must be read, in milliseconds.
-const GROUP_INTERVAL_MS: u64 = 2_000;
+/// Interval at which it is checked whether the group's record must be read, in milliseconds.
+const GROUP_CHECK_INTERVAL_MS: u64 = 2_000;
 
-/// Pause between two reads of the group's record before the first one is there, in
-/// milliseconds.
-const FIRST_GROUP_INTERVAL_MS: u64 = 400;
+/// Interval at which the group's record is read while no group is known, in milliseconds.
+const FIRST_GROUP_READ_INTERVAL_MS: u64 = 400;
 
-/// Pause between two probes of the group, in milliseconds.
+/// Pause between two probes of the members, in milliseconds.
 const PROBE_INTERVAL_MS: u64 = 80;
 
-/// Pause between two rounds of closing unused connections, in milliseconds.
+/// Interval at which expired idle connections are closed, in milliseconds.
 const SWEEP_INTERVAL_MS: u64 = 1_000;
 
-/// At the first start of all, the group is founded only after the instances with disks have
-/// registered. Until then, but no longer than this, in milliseconds, nothing else is read: without
-/// the group nothing can be served.
+/// Longest wait for a group after the start, in milliseconds. When the whole system starts for
+/// the first time, the group is founded only after the instances with disks have registered.
+/// Configuration and endpoints are not read before that, since without a group nothing can be
+/// served.
 const FOUNDING_WAIT_MS: u64 = 3_000;
 
-/// Pause between two looks whether the group is known, in milliseconds.
+/// Interval at which this wait checks whether a group is known, in milliseconds.
 const FOUNDING_POLL_MS: u64 = 25;
 
-/// Starts all loops.
+/// Starts all background tasks. They run until the process ends.
 pub(crate) fn start(edge: &Rc<Edge>) {
     tokio::task::spawn_local(read_configuration(Rc::clone(edge)));
     tokio::task::spawn_local(follow_endpoints(Rc::clone(edge)));
     tokio::task::spawn_local(read_group(Rc::clone(edge)));
-    tokio::task::spawn_local(refill(Rc::clone(edge)));
-    tokio::task::spawn_local(probe(Rc::clone(edge)));
-    tokio::task::spawn_local(sweep(Rc::clone(edge)));
+    tokio::task::spawn_local(refill_quota_loop(Rc::clone(edge)));
+    tokio::task::spawn_local(probe_loop(Rc::clone(edge)));
+    tokio::task::spawn_local(sweep_loop(Rc::clone(edge)));
     tokio::task::spawn_local(follow_presence(Rc::clone(edge)));
 }
 
-/// Reads the configuration from the nearest member, which reads it from the store for all,
-/// and from the store itself while that member has no fresh one.
+/// Reads the configuration periodically from the nearest member, or from the metadata store
+/// while that member does not answer or its copy is too old.
 async fn read_configuration(edge: Rc<Edge>) {
     let bound_ms = edge.settings.bounds.configuration_ms as f64;
-    let interval_ms = (bound_ms * READ_PART) as u64;
+    let interval_ms = (bound_ms * READ_INTERVAL_FRACTION) as u64;
     let mut is_reachable = true;
     wait_for_group(&edge).await;
     loop {
         let began_ms = now_ms();
         let known = edge.configuration_revision.get();
         let shared = edge.members.nearest_configuration(known).await;
-        if let Some(found) = shared.filter(|found| found.age_ms <= MOST_SHARED_AGE_MS) {
-            edge.take_shared_configuration(began_ms, found);
+        if let Some(found) = shared.filter(|found| found.age_ms <= MAX_SHARED_AGE_MS) {
+            edge.apply_shared_configuration(began_ms, found);
             if !is_reachable {
                 log::info!("event=store_regained by=member");
                 is_reachable = true;
@@ -87,29 +92,29 @@
             continue;
         }
         if !edge.store_backoff.borrow().is_over(now_ms()) {
-            ask_others(&edge).await;
-            pause(FAILED_READ_PAUSE_MS).await;
+            ask_members(&edge).await;
+            pause(FAILED_READ_RETRY_MS).await;
             continue;
         }
         match edge.store.configuration(known).await {
             Ok(read) => {
                 edge.members.note_store();
-                edge.take_configuration(began_ms, read);
-                note_store(&mut is_reachable, None);
+                edge.apply_configuration(began_ms, read);
+                log_store_transition(&mut is_reachable, None);
                 edge.store_backoff.borrow_mut().succeed();
                 pause(interval_ms).await;
             }
             Err(error) => {
-                note_store(&mut is_reachable, Some(&error));
+                log_store_transition(&mut is_reachable, Some(&error));
                 edge.store_backoff.borrow_mut().fail(now_ms());
-                ask_others(&edge).await;
-                pause(FAILED_READ_PAUSE_MS).await;
+                ask_members(&edge).await;
+                pause(FAILED_READ_RETRY_MS).await;
             }
         }
     }
 }
 
-/// Waits until the group is known, or could have been founded.
+/// Waits until a group is known, but no longer than `FOUNDING_WAIT_MS`.
 async fn wait_for_group(edge: &Edge) {
     let until_ms = now_ms() + FOUNDING_WAIT_MS;
     while edge.members.group().version == 0 && now_ms() < until_ms {
@@ -117,7 +122,8 @@
     }
 }
 
-fn note_store(is_reachable: &mut bool, error: Option<&MetadataError>) {
+/// Logs the first failure of the metadata store and its first success after that.
+fn log_store_transition(is_reachable: &mut bool, error: Option<&MetadataError>) {
     match (error, *is_reachable) {
         (Some(error), true) => log::warn!("event=store_lost reason={error:?}"),
         (None, false) => log::info!("event=store_regained"),
@@ -126,22 +132,24 @@
     *is_reachable = error.is_none();
 }
 
-/// While the store does not answer here, it may answer others.
-async fn ask_others(edge: &Rc<Edge>) {
+/// Reads the configuration from all members if it has not been confirmed for a while: the metadata
+/// store may be reachable from them though not from here.
+async fn ask_members(edge: &Rc<Edge>) {
     let age_ms = edge.freshness.borrow().age_ms(now_ms());
-    if age_ms.is_some_and(|age_ms| age_ms < ASK_OTHERS_AGE_MS) {
+    if age_ms.is_some_and(|age_ms| age_ms < ASK_MEMBERS_AGE_MS) {
         return;
     }
     let asked_ms = now_ms();
     let known = edge.configuration_revision.get();
     for found in edge.members.configuration(known).await {
-        edge.take_shared_configuration(asked_ms, found);
+        edge.apply_shared_configuration(asked_ms, found);
     }
 }
 
 impl Edge {
-    /// Takes a configuration that a member read. Its age counts from when it was asked for.
-    fn take_shared_configuration(&self, asked_ms: u64, found: SharedConfiguration) {
+    /// Applies a configuration that a member read. Its age counts back from `asked_ms`, when the
+    /// request was sent, so that it is never underestimated.
+    fn apply_shared_configuration(&self, asked_ms: u64, found: SharedConfiguration) {
         let content = found.content.and_then(|content| {
             let decoded = self.store.decode_configuration(&content);
             match decoded {
@@ -156,12 +164,12 @@
             revision: found.revision,
             content,
         };
-        self.take_configuration(asked_ms.saturating_sub(found.age_ms), read);
+        self.apply_configuration(asked_ms.saturating_sub(found.age_ms), read);
     }
 
-    /// Takes a configuration that was the newest when its read began. Older ones than the
-    /// one in hand are ignored, so that none is ever undone.
-    fn take_configuration(&self, read_began_ms: u64, read: ConfigurationRead) {
+    /// Applies a configuration that was the newest at `read_began_ms`, or confirms the current one.
+    /// Older revisions are ignored, so that a change is never undone.
+    fn apply_configuration(&self, read_began_ms: u64, read: ConfigurationRead) {
         let known = self.configuration_revision.get();
         match read.content {
             Some((_, configuration)) if read.revision > known => {
@@ -184,32 +192,32 @@
     }
 }
 
-/// Learns endpoints from a near member, which follows the store for all, and from the store
-/// itself while no such member has heard from it lately.
+/// Reads changes of endpoints from a near member, or from the metadata store while no such member
+/// has heard from the store recently.
 async fn follow_endpoints(edge: Rc<Edge>) {
     let mut view = EndpointView::default();
     let mut follower = EndpointFollower::default();
     wait_for_group(&edge).await;
     loop {
         let shared = edge.members.endpoints(view.told_through()).await;
-        let told = shared.and_then(decode);
-        let changes = told.and_then(|told| view.take_news(now_ms(), told));
+        let news = shared.and_then(decode_endpoint_news);
+        let changes = news.and_then(|news| view.take_news(now_ms(), news));
         if let Some(changes) = changes {
-            edge.take_endpoints(changes);
+            edge.apply_endpoints(changes);
             follower.restart();
             edge.store_backoff.borrow_mut().succeed();
             pause(SHARED_ENDPOINTS_INTERVAL_MS).await;
             continue;
         }
         if !edge.store_backoff.borrow().is_over(now_ms()) {
-            pause(FAILED_READ_PAUSE_MS).await;
+            pause(FAILED_READ_RETRY_MS).await;
             continue;
         }
         match follower.read(&*edge.store, WATCH_MS).await {
             Ok(read) => {
                 let changes = view.take_read(now_ms(), read);
                 let has_changes = !changes.is_empty();
-                edge.take_endpoints(changes);
+                edge.apply_endpoints(changes);
                 edge.store_backoff.borrow_mut().succeed();
                 if has_changes {
                     pause(BETWEEN_CHANGES_MS).await;
@@ -217,18 +225,19 @@
             }
             Err(_) => {
                 edge.store_backoff.borrow_mut().fail(now_ms());
-                pause(FAILED_READ_PAUSE_MS).await;
+                pause(FAILED_READ_RETRY_MS).await;
             }
         }
     }
 }
 
-fn decode(told: SharedEndpoints) -> Option<EndpointNews> {
-    match postcard::from_bytes(&told.content) {
+/// Decodes the changes of endpoints that a member sent. `None` if they are unreadable.
+fn decode_endpoint_news(shared: SharedEndpoints) -> Option<EndpointNews> {
+    match postcard::from_bytes(&shared.content) {
         Ok(changes) => Some(EndpointNews {
-            cursor: told.cursor,
-            revision: told.revision,
-            is_complete: told.is_complete,
+            cursor: shared.cursor,
+            revision: shared.revision,
+            is_complete: shared.is_complete,
             changes,
         }),
         Err(error) => {
@@ -239,7 +248,8 @@
 }
 
 impl Edge {
-    fn take_endpoints(&self, changes: Vec<EndpointChange>) {
+    /// Applies changes of endpoints to the balancer.
+    fn apply_endpoints(&self, changes: Vec<EndpointChange>) {
         let mut balancer = self.balancer.borrow_mut();
         for change in changes {
             match change {
@@ -262,12 +272,13 @@
     }
 }
 
-/// Members tell of a newer group whenever they are asked something that needs it, so the record
-/// is read only while the group is not known, does not answer, or is known to have changed.
+/// Reads the group's record from the metadata store, but only while no group is known, the known
+/// one has no quorum, or a member has reported a newer one. Otherwise members return a newer group
+/// in their answer to any request that depends on it.
 async fn read_group(edge: Rc<Edge>) {
     loop {
         if edge.members.is_group_current(now_ms()) {
-            pause(GROUP_INTERVAL_MS).await;
+            pause(GROUP_CHECK_INTERVAL_MS).await;
             continue;
         }
         match edge.store.own_records(GROUP_RECORD, true).await {
@@ -275,29 +286,31 @@
                 edge.members.note_store();
                 let record = records.iter().find(|record| record.name == GROUP_RECORD);
                 if let Some(record) = record {
-                    adopt(&edge, &record.content);
+                    adopt_record(&edge, &record.content);
                 }
             }
             Err(error) => log::debug!("event=group_unread reason={error:?}"),
         }
         let is_known = edge.members.group().version > 0;
         pause(if is_known {
-            GROUP_INTERVAL_MS
+            GROUP_CHECK_INTERVAL_MS
         } else {
-            FIRST_GROUP_INTERVAL_MS
+            FIRST_GROUP_READ_INTERVAL_MS
         })
         .await;
     }
 }
 
-fn adopt(edge: &Edge, content: &[u8]) {
+/// Switches to the group of a record read from the metadata store.
+fn adopt_record(edge: &Edge, content: &[u8]) {
     match postcard::from_bytes::<Group>(content) {
         Ok(group) => edge.members.adopt(group),
         Err(error) => log::warn!("event=group_unreadable reason={error:?}"),
     }
 }
 
-async fn probe(edge: Rc<Edge>) {
+/// Probes the members, and logs when the quorum is lost or regained.
+async fn probe_loop(edge: Rc<Edge>) {
     let mut had_quorum = true;
     loop {
         edge.members.probe().await;
@@ -312,33 +325,41 @@
     }
 }
 
-async fn refill(edge: Rc<Edge>) {
+/// Fetches rate-limit tokens in advance.
+async fn refill_quota_loop(edge: Rc<Edge>) {
     loop {
         pause(REFILL_INTERVAL_MS).await;
         edge.refill_quota().await;
     }
 }
 
-async fn sweep(edge: Rc<Edge>) {
+/// Closes expired idle connections and logs the number of omitted log lines.
+async fn sweep_loop(edge: Rc<Edge>) {
     loop {
         pause(SWEEP_INTERVAL_MS).await;
-        edge.sum_up_log();
+        edge.log_omitted_responses();
         let balancer = edge.balancer.borrow();
         let mut pool = edge.pool.borrow_mut();
         pool.sweep(now_ms(), |key| balancer.contains(key));
     }
 }
 
-/// Follows how many entry instances of the zone are there.
+/// Reports the presence of this instance to its zone's member, and learns from the reply whether
+/// most entry instances of the zone have lost contact.
 async fn follow_presence(edge: Rc<Edge>) {
     loop {
         pause(PRESENCE_INTERVAL_MS).await;
         let presence = edge.members.zone_presence(&edge.settings.name).await;
-        let is_zone_away = presence.is_some_and(is_mostly_away);
-        if is_zone_away != edge.is_zone_mostly_away.replace(is_zone_away) {
+        let is_mostly_disconnected = presence.is_some_and(is_mostly_away);
+        if is_mostly_disconnected
+            != edge
+                .is_zone_mostly_disconnected
+                .replace(is_mostly_disconnected)
+        {
             let ZonePresence { known, present } = presence.unwrap_or_default();
             log::warn!(
-                "event=zone_presence mostly_away={is_zone_away} known={known} present={present}"
+                "event=zone_presence mostly_away={is_mostly_disconnected} known={known} \
+                 present={present}"
             );
         }
     }
--- a/crates/gateway/src/edge/turn_cache.rs
+++ b/crates/gateway/src/edge/turn_cache.rs
@@ -1,4 +1,5 @@
-//! Turns that this instance has handled, so that most chains need no question.
+//! Cache of the turns that this instance has handled or read, so that most prompts can be built
+//! without asking the storage group.
 
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -6,14 +7,15 @@
 use bytes::{Bytes, BytesMut};
 use jayreel_ledger::TurnRecord;
 
-/// Content that is kept, in bytes. A few hundred conversations of ten turns of 3 KB.
-const MOST_BYTES: usize = 8 << 20;
+/// Size limit of the cache, in bytes: a few hundred conversations of ten turns of 3 KB.
+const MAX_BYTES: usize = 8 << 20;
 
-/// Turns by identifier, the oldest dropped first.
+/// Turns by identifier. When the cache is full, the turns that were inserted first are evicted.
 #[derive(Debug, Default)]
 pub(crate) struct TurnCache {
     turns: HashMap<String, Rc<TurnRecord>>,
-    order: VecDeque<String>,
+    /// Identifiers in the order of insertion.
+    insertion_order: VecDeque<String>,
     size_bytes: usize,
 }
 
@@ -27,10 +29,10 @@
             return;
         }
         self.size_bytes += size_bytes(&record);
-        self.order.push_back(record.turn.clone());
+        self.insertion_order.push_back(record.turn.clone());
         self.turns.insert(record.turn.clone(), Rc::new(record));
-        while self.size_bytes > MOST_BYTES {
-            let Some(oldest) = self.order.pop_front() else {
+        while self.size_bytes > MAX_BYTES {
+            let Some(oldest) = self.insertion_order.pop_front() else {
                 return;
             };
             if let Some(record) = self.turns.remove(&oldest) {
@@ -40,12 +42,14 @@
     }
 }
 
+/// Approximate memory that a record and its key use, in bytes.
 fn size_bytes(record: &TurnRecord) -> usize {
     record.input.len() + record.output.len() + 2 * record.turn.len()
 }
 
-/// The prompt of a turn: all earlier input and output, oldest first, then the new input.
-pub(crate) fn prompt(chain: &[Rc<TurnRecord>], input: &Bytes) -> Bytes {
+/// Builds the prompt of a turn: all earlier input and output, oldest first, then the new input.
+/// `chain` holds the earlier turns, newest first.
+pub(crate) fn build_prompt(chain: &[Rc<TurnRecord>], input: &Bytes) -> Bytes {
     if chain.is_empty() {
         return input.clone();
     }
