--- a/crates/gateway/src/edge/listen.rs
+++ b/crates/gateway/src/edge/listen.rs
@@ -74,7 +74,7 @@
     log::info!("event=started role=edge name={}", edge.settings.name);
     sync::start(&edge);
     let (stopping, is_stopping) = watch::channel(false);
-    let accepting =
+    let accept_task =
         tokio::task::spawn_local(accept_calls(Rc::clone(&edge), front, is_stopping));
     tokio::task::spawn_local(serve_readiness(Rc::clone(&edge), ready));
     let for_metrics = Rc::clone(&edge);
@@ -86,9 +86,9 @@
     // Fails only if no connection is open.
     let _ = stopping.send(true);
     pause(ACCEPT_AFTER_STOP_MS).await;
-    accepting.abort();
-    let last_ms = began_ms + stop_ms.saturating_sub(EXIT_RESERVE_MS);
-    while edge.metrics.open_connections() > 0 && now_ms() < last_ms {
+    accept_task.abort();
+    let drain_until_ms = began_ms + stop_ms.saturating_sub(EXIT_RESERVE_MS);
+    while edge.metrics.open_connections() > 0 && now_ms() < drain_until_ms {
         pause(DRAIN_POLL_MS).await;
     }
     log::info!("event=stopped calls={}", edge.metrics.open_calls());
--- a/crates/gateway/src/edge/mod.rs
+++ b/crates/gateway/src/edge/mod.rs
@@ -46,7 +46,7 @@
 pub use members::{ChainLookup, Members, NoQuorum};
 
 /// Number of programs whose last endpoint is remembered. All entries are dropped when it is
-/// reached, which is acceptable because a program lasts only a few seconds.
+/// reached; a program lasts only a few seconds.
 const MAX_AFFINITIES: usize = 4_096;
 
 /// Fraction of `Bounds::configuration_ms`. A configuration that was confirmed to be current
@@ -61,12 +61,14 @@
     configuration: RefCell<Rc<Configuration>>,
     /// Revision of the configuration in the metadata store. 0 until one has been read.
     configuration_revision: Cell<u64>,
+    /// When the configuration was last confirmed to be current.
     pub freshness: RefCell<Freshness>,
     pub balancer: RefCell<Balancer>,
     pub pool: RefCell<Pool>,
     pub members: Rc<Members>,
     /// Delays calls to the metadata store after one has failed.
     store_backoff: RefCell<Backoff>,
+    /// Rate-limit tokens fetched in advance.
     quota: RefCell<QuotaStock>,
     /// By customer: until when requests are refused without asking the members, which have all
     /// just replied that the customer has no tokens left.
@@ -79,6 +81,7 @@
     /// Most entry instances of the zone have lost contact with its member. The load balancer
     /// should then send callers to other zones.
     is_zone_mostly_disconnected: Cell<bool>,
+    /// A graceful shutdown has begun.
     is_stopping: Cell<bool>,
     /// Limits the log lines for successful responses. Those beyond it are only counted.
     response_log_budget: RefCell<LineBudget>,
--- a/crates/gateway/src/edge/quota.rs
+++ b/crates/gateway/src/edge/quota.rs
@@ -73,17 +73,17 @@
         want: QuotaWant,
         version: u64,
     ) -> Result<(), Refusal> {
-        let mut has_answer = false;
+        let mut any_answered = false;
         for member in self.members.nearest_first(&want.customer) {
             let wants = vec![want.clone()];
             let granted = self.members.take_quota(&member, version, wants).await;
             let count = granted.and_then(|granted| granted.first().copied());
-            has_answer |= count.is_some();
+            any_answered |= count.is_some();
             if count.is_some_and(|count| count > 0) {
                 return Ok(());
             }
         }
-        match has_answer {
+        match any_answered {
             true => {
                 let until_ms = now_ms() + REFUSAL_CACHE_MS;
                 let mut paused = self.refused_until_ms.borrow_mut();
@@ -121,9 +121,9 @@
                 return;
             }
             let asked_ms = now_ms();
-            let asked = wants.clone();
+            let request = wants.clone();
             let version = configuration.version;
-            let granted = self.members.take_quota(&member, version, asked).await;
+            let granted = self.members.take_quota(&member, version, request).await;
             for (want, count) in wants.iter_mut().zip(granted.unwrap_or_default()) {
                 self.quota.borrow_mut().add(asked_ms, &want.customer, count);
                 want.requests = want.requests.saturating_sub(count);
--- a/crates/gateway/src/edge/sync.rs
+++ b/crates/gateway/src/edge/sync.rs
@@ -132,8 +132,8 @@
     *is_reachable = error.is_none();
 }
 
-/// Reads the configuration from all members if it has not been confirmed for a while: the metadata
-/// store may be reachable from them though not from here.
+/// Reads the configuration from all members if it has not been confirmed for `ASK_MEMBERS_AGE_MS`:
+/// the metadata store may be reachable from them though not from here.
 async fn ask_members(edge: &Rc<Edge>) {
     let age_ms = edge.freshness.borrow().age_ms(now_ms());
     if age_ms.is_some_and(|age_ms| age_ms < ASK_MEMBERS_AGE_MS) {
