--- a/crates/gateway/src/storage/node.rs
+++ b/crates/gateway/src/storage/node.rs
@@ -354,7 +354,7 @@
         if let (MembershipState::CatchingUp(progress), true) =
             (&mut self.membership, is_last)
         {
-            progress.record(source);
+            progress.mark_copied(source);
         }
         effects.extend(self.vote_if_complete(now_ms));
         effects
--- a/crates/ledger/src/group.rs
+++ b/crates/ledger/src/group.rs
@@ -205,7 +205,7 @@
 
     /// Notes that all records of an instance have been copied. That instance must have held
     /// all records of its group itself.
-    pub fn record(&mut self, source: &str) {
+    pub fn mark_copied(&mut self, source: &str) {
         self.copied.insert(source.to_string());
     }
 
--- a/crates/ledger/tests/group.rs
+++ b/crates/ledger/tests/group.rs
@@ -63,13 +63,13 @@
     let first = Group::first(&members(&["a", "b", "d"]), 1);
     let group = first.replace(Some("a"), Some(member("c")));
     let mut catch_up = CatchUp::plan(&group, "c");
-    catch_up.record("a");
-    catch_up.record("b");
+    catch_up.mark_copied("a");
+    catch_up.mark_copied("b");
     assert!(
         !catch_up.is_complete(),
         "a record may have copies on c and d only"
     );
-    catch_up.record("d");
+    catch_up.mark_copied("d");
     assert!(catch_up.is_complete());
 }
 
@@ -80,8 +80,8 @@
     let mut catch_up = CatchUp::plan(&group, "c");
     let missing: Vec<String> = catch_up.missing().into_iter().map(|m| m.name).collect();
     assert_eq!(missing, ["b", "d", "a"]);
-    catch_up.record("b");
+    catch_up.mark_copied("b");
     assert!(!catch_up.is_complete());
-    catch_up.record("d");
+    catch_up.mark_copied("d");
     assert!(catch_up.is_complete());
 }
