--- a/crates/gateway/src/storage/maintenance.rs
+++ b/crates/gateway/src/storage/maintenance.rs
@@ -16,14 +16,14 @@
 use crate::storage::node::{ConfigurationUpdate, Event};
 use crate::storage::serve::StorageProcess;
 
-/// Interval between two reads of the configuration, in milliseconds. The first member reads it
+/// Pause between two reads of the configuration, in milliseconds. The first member reads it
 /// from the store, the other members from the first one, and entry instances from a member of
-/// their zone. A change thus passes three such intervals within the time in which it must take
-/// effect.
+/// their zone. A change thus waits for up to three such pauses within the time in which it must
+/// take effect.
 const CONFIGURATION_INTERVAL_MS: u64 = 400;
 
 /// Maximum age of a configuration from the first member, in milliseconds: the first member's
-/// interval between two reads, this instance's interval, and a slow call of the store.
+/// pause between two reads, this instance's pause, and a slow call of the store.
 const MAX_SHARED_AGE_MS: u64 = 900;
 
 /// Timeout for the configuration from the first member, in milliseconds. It answers from memory.
@@ -32,7 +32,7 @@
 /// Pause before retrying a failed call of the store, in milliseconds.
 const FAILED_CALL_PAUSE_MS: u64 = 200;
 
-/// Interval between two checks of the group, in milliseconds.
+/// Pause between two checks of the group, in milliseconds.
 const GROUP_INTERVAL_MS: u64 = 500;
 
 /// Time from the start until the first group may be created, in milliseconds. Instances that
@@ -45,10 +45,10 @@
 /// Timeout for copying one part of the records, in milliseconds.
 const PART_TIMEOUT_MS: u64 = 2_000;
 
-/// Interval between two attempts to copy missing records, in milliseconds.
+/// Pause between two attempts to copy missing records, in milliseconds.
 const COPY_INTERVAL_MS: u64 = 100;
 
-/// Interval between two removals of expired records, in milliseconds.
+/// Pause between two removals of expired records, in milliseconds.
 const EXPIRY_INTERVAL_MS: u64 = 5_000;
 
 /// Starts all background tasks. They run until the process ends.
@@ -283,6 +283,7 @@
     }
 }
 
+/// Encodes the content of a record for the metadata store.
 fn encode<T: serde::Serialize>(value: &T) -> Bytes {
     match postcard::to_stdvec(value) {
         Ok(content) => Bytes::from(content),
@@ -347,6 +348,7 @@
     Ok(())
 }
 
+/// Decodes the content of a record from the metadata store.
 fn decode<T: serde::de::DeserializeOwned>(content: &[u8]) -> Result<T, MetadataError> {
     postcard::from_bytes(content)
         .map_err(|error| MetadataError::Unreadable(format!("{error:?}")))
@@ -504,7 +506,7 @@
     }
     let mut cursor = Some(0);
     while let Some(next) = cursor {
-        let (records, following) = process.node.borrow().part(next);
+        let (records, following) = process.node.borrow().copy_part(next);
         let sends = group.members.iter().map(|member| {
             let (link, records) = (process.links.to(member), records.clone());
             async move {
--- a/crates/gateway/src/storage/node.rs
+++ b/crates/gateway/src/storage/node.rs
@@ -105,14 +105,18 @@
     pub(super) group: Group,
     /// Role of this instance in `group`.
     pub(super) membership: MembershipState,
+    /// This instance's share of customers' request rates.
     pub(super) rates: RateShare,
     started_ms: u64,
     /// Set when the group becomes smaller: until this time, in milliseconds, rates are divided
     /// by the previous number of members, because the member that left may have granted its
     /// share in the current window.
     pub(super) previous_shares: Option<(u64, usize)>,
+    /// When a read last confirmed that `configuration` is the newest.
     pub(super) freshness: Freshness,
+    /// Endpoints in the store, which entry instances ask for.
     pub(super) endpoints: EndpointView,
+    /// Entry instances of this instance's availability zone.
     pub(super) presence: PresenceBook,
     /// The configuration in the encoding of the store. Empty without one.
     pub(super) configuration: Bytes,
@@ -263,6 +267,7 @@
         effects
     }
 
+    /// Encodes records for the log. Returns `None` if one cannot be encoded.
     pub(super) fn append(&mut self, records: &[LedgerRecord]) -> Option<Effect> {
         let mut frames = Vec::new();
         for record in records {
@@ -335,6 +340,8 @@
         }
     }
 
+    /// Merges and writes a part of another member's records. Starts to vote if it was the last
+    /// part that was missing.
     fn merge_copied(
         &mut self,
         now_ms: u64,
--- a/crates/gateway/src/storage/requests.rs
+++ b/crates/gateway/src/storage/requests.rs
@@ -13,9 +13,9 @@
 
 impl Node {
     /// Returns one part of the shared records for another instance, see
-    /// [`jayreel_ledger::LedgerState::part`].
-    pub fn part(&self, cursor: u64) -> (Vec<LedgerRecord>, Option<u64>) {
-        self.state.part(cursor, PART_BYTES)
+    /// [`jayreel_ledger::LedgerState::copy_part`].
+    pub fn copy_part(&self, cursor: u64) -> (Vec<LedgerRecord>, Option<u64>) {
+        self.state.copy_part(cursor, PART_BYTES)
     }
 
     /// Handles a request. Responses that confirm a write are sent once it is on disk, all
@@ -96,9 +96,9 @@
         (is_new, response)
     }
 
-    /// Returns the response to a request that must not be handled, because it depends on a
-    /// group in which sender and receiver do not agree or this instance has no part. `None` if
-    /// the request can be handled.
+    /// Checks requests that depend on the group. Returns the response if the request cannot be
+    /// handled, because sender and receiver know different versions of the group or this
+    /// instance is not a member. Otherwise returns `None`.
     fn reject(
         &self,
         group_version: u64,
@@ -146,7 +146,7 @@
                 }
             }
             MemberRequest::CopyPart { cursor } => {
-                let (records, next) = self.part(cursor);
+                let (records, next) = self.copy_part(cursor);
                 MemberResponse::Part {
                     records,
                     next,
@@ -239,6 +239,8 @@
         }
     }
 
+    /// Endpoint changes after a cursor. `Unavailable` if the store has not been read recently,
+    /// or could not be read shortly before.
     fn share_endpoints(&mut self, now_ms: u64, known: EndpointCursor) -> MemberResponse {
         let Some(news) = self.endpoints.news_since(now_ms, known) else {
             return MemberResponse::Unavailable;
@@ -257,6 +259,8 @@
         }
     }
 
+    /// The configuration, if it is newer than `known_revision`, and its age. `Unavailable` if no
+    /// read has confirmed it yet.
     fn share_configuration(&self, now_ms: u64, known_revision: u64) -> MemberResponse {
         match self.freshness.age_ms(now_ms) {
             Some(age_ms) => MemberResponse::Configuration(SharedConfiguration {
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -88,7 +88,7 @@
         /// At most one entry for each customer.
         wants: Vec<QuotaRequest>,
     },
-    /// Read one part of all records, see [`crate::LedgerState::part`].
+    /// Read one part of all records, see [`crate::LedgerState::copy_part`].
     CopyPart {
         /// 0 for the first part, then the cursor from the response before.
         cursor: u64,
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -40,6 +40,7 @@
     record: TurnRecord,
     /// Insertion number of the turn. Unique.
     sequence: u64,
+    /// When the turn is removed, in milliseconds, unless it is used before.
     expires_ms: u64,
 }
 
@@ -67,12 +68,13 @@
 }
 
 impl LedgerState {
-    /// Merges a record. Returns whether it contained anything new, and so must be written.
+    /// Merges a record, whose retention time starts at `now_ms`. Returns whether it contained
+    /// anything new, so that it must be written to the log.
     pub fn merge(&mut self, now_ms: u64, record: &LedgerRecord) -> bool {
         match record {
             LedgerRecord::Reserved(reservation) => self.reserve(now_ms, reservation),
             LedgerRecord::Settled(settlement) => self.settle(now_ms, settlement),
-            LedgerRecord::Turn(record) => self.add_turn(now_ms, record),
+            LedgerRecord::Turn(turn) => self.add_turn(now_ms, turn),
             LedgerRecord::Granted {
                 at_ms,
                 customer,
@@ -189,8 +191,8 @@
         true
     }
 
-    /// Restarts the retention time of a turn and of the turns that it continues: a turn is of
-    /// use only together with them.
+    /// Restarts the retention time of a turn and of the turns that it continues, so that they
+    /// are kept together.
     fn extend_retention(&mut self, now_ms: u64, turn: Option<String>) {
         let mut next = turn;
         while let Some(stored) = next.and_then(|turn| self.turns.get_mut(&turn)) {
@@ -236,7 +238,7 @@
     /// the last one. Cursor 0 gives all charges; the following parts give the turns in the
     /// order in which they were added. A part of turns ends once their inputs and outputs
     /// reach `part_bytes`, so it exceeds that size by less than one turn.
-    pub fn part(
+    pub fn copy_part(
         &self,
         cursor: u64,
         part_bytes: usize,
