--- a/crates/gateway/src/edge/admission.rs
+++ b/crates/gateway/src/edge/admission.rs
@@ -42,12 +42,12 @@
         requests: 1,
         quota_purpose: match has_begun {
             true => QuotaPurpose::ContinueProgram,
-            false => QuotaPurpose::Begin,
+            false => QuotaPurpose::StartProgram,
         },
         budget: program.filter(|_| is_turn).and_then(|program| {
             Some(TurnBudget {
                 budget_tokens: program.budget_tokens?,
-                most_tokens: call.reserved_tokens(),
+                max_turn_tokens: call.reserved_tokens(),
             })
         }),
         limit: customer.limit,
--- a/crates/gateway/src/edge/call.rs
+++ b/crates/gateway/src/edge/call.rs
@@ -102,7 +102,11 @@
         let target_ms = self.route.target_ms;
         SendTimeouts {
             time_left_ms,
-            head_timeout_ms: attempt.response_timeout_ms(self.policy(), target_ms, time_left_ms),
+            head_timeout_ms: attempt.response_timeout_ms(
+                self.policy(),
+                target_ms,
+                time_left_ms,
+            ),
         }
     }
 
@@ -443,7 +447,7 @@
     let reservation = Reservation {
         program: ProgramKey::new(customer, &program.id),
         turn: admitted.call.request_id.clone(),
-        most_tokens: admitted.call.reserved_tokens(),
+        max_turn_tokens: admitted.call.reserved_tokens(),
     };
     let held = BudgetReservation::new(edge, &reservation);
     match edge.members.reserve(&reservation, budget_tokens).await {
--- a/crates/gateway/src/edge/exchange.rs
+++ b/crates/gateway/src/edge/exchange.rs
@@ -197,7 +197,8 @@
             if !edge.balancer.borrow().contains(pick.key) {
                 return;
             }
-            let connected = HttpConnection::connect(pick.address, CONNECT_TIMEOUT_MS).await;
+            let connected =
+                HttpConnection::connect(pick.address, CONNECT_TIMEOUT_MS).await;
             if let Ok(link) = connected {
                 log::info!("event=endpoint_reachable endpoint={}", pick.id);
                 edge.pool
--- a/crates/gateway/src/edge/members.rs
+++ b/crates/gateway/src/edge/members.rs
@@ -12,8 +12,9 @@
 use futures::stream::FuturesUnordered;
 use futures::{FutureExt, StreamExt};
 use jayreel_ledger::{
-    Answer, Ask, Decision, EndpointCursor, Group, Member, Phase, QuotaRequest, Reservation,
-    Settlement, SharedConfiguration, SharedEndpoints, BudgetCheck, TurnRecord, ZonePresence,
+    BudgetCheck, Decision, EndpointCursor, Group, Member, MemberRequest, MemberResponse,
+    Phase, QuotaRequest, Reservation, Settlement, SharedConfiguration, SharedEndpoints,
+    TurnRecord, ZonePresence,
 };
 use jayreel_membership::rank;
 
@@ -130,7 +131,7 @@
     /// Sends a member the newest known version of the group, without waiting for the answer.
     fn send_group(self: &Rc<Self>, member: &Member) {
         let group = self.group();
-        let ask = Ask::AdoptGroup(Group::clone(&group));
+        let ask = MemberRequest::AdoptGroup(Group::clone(&group));
         drop(self.spawn_ask(group.version, member, ask, MEMORY_TIMEOUT_MS));
     }
 
@@ -152,9 +153,9 @@
         &self,
         group_version: u64,
         member: &Member,
-        ask: Ask,
+        ask: MemberRequest,
         timeout_ms: u64,
-    ) -> Result<Answer, LinkError> {
+    ) -> Result<MemberResponse, LinkError> {
         let answer = self.links.ask(member, group_version, ask, timeout_ms).await;
         if answer.is_ok() {
             self.contact.borrow_mut().note_member(now_ms());
@@ -195,19 +196,20 @@
             .members
             .iter()
             .map(|member| {
-                let asked = self.ask(version, member, Ask::Status, MEMORY_TIMEOUT_MS);
+                let asked =
+                    self.ask(version, member, MemberRequest::Status, MEMORY_TIMEOUT_MS);
                 asked.map(move |answer| (member, answer))
             })
             .collect();
         let mut voting = 0;
         while let Some((member, answer)) = answers.next().await {
             match answer {
-                Ok(Answer::Status { group_version, .. })
+                Ok(MemberResponse::Status { group_version, .. })
                     if group_version < group.version =>
                 {
                     self.send_group(member);
                 }
-                Ok(Answer::Status {
+                Ok(MemberResponse::Status {
                     is_voting,
                     group_version,
                 }) => {
@@ -229,7 +231,7 @@
     /// has answered.
     async fn collect_charges(
         self: &Rc<Self>,
-        ask: &Ask,
+        ask: &MemberRequest,
         timeout_ms: u64,
         tally: &mut BudgetCheck,
     ) -> Result<(), NoQuorum> {
@@ -242,11 +244,11 @@
         let mut count = 0;
         while let Some(answer) = answers.next().await {
             match answer {
-                Ok(Ok(Answer::Charges(charges))) => {
+                Ok(Ok(MemberResponse::Charges(charges))) => {
                     tally.add(&charges);
                     count += 1;
                 }
-                Ok(Ok(Answer::Closed(newer))) => {
+                Ok(Ok(MemberResponse::GroupSuperseded(newer))) => {
                     self.adopt(newer);
                     return Err(NoQuorum);
                 }
@@ -266,9 +268,9 @@
         self: &Rc<Self>,
         group_version: u64,
         member: &Member,
-        ask: Ask,
+        ask: MemberRequest,
         timeout_ms: u64,
-    ) -> tokio::task::JoinHandle<Result<Answer, LinkError>> {
+    ) -> tokio::task::JoinHandle<Result<MemberResponse, LinkError>> {
         let (members, member) = (Rc::clone(self), member.clone());
         tokio::task::spawn_local(async move {
             members.ask(group_version, &member, ask, timeout_ms).await
@@ -298,16 +300,16 @@
     ) -> Result<Decision, NoQuorum> {
         let began_ms = now_ms();
         let mut tally = BudgetCheck::new(&reservation.turn);
-        let ask = Ask::Reserve(reservation.clone());
+        let ask = MemberRequest::Reserve(reservation.clone());
         let version = self.group().version;
         self.collect_charges(&ask, DISK_TIMEOUT_MS, &mut tally)
             .await?;
-        let most_tokens = reservation.most_tokens;
+        let most_tokens = reservation.max_turn_tokens;
         let decision = tally.decide(Phase::Reserved, budget_tokens, most_tokens);
         if decision != Decision::Reread {
             return check_decision_age(began_ms, decision);
         }
-        let ask = Ask::Charges(reservation.program.clone());
+        let ask = MemberRequest::Charges(reservation.program.clone());
         self.collect_charges(&ask, MEMORY_TIMEOUT_MS, &mut tally)
             .await?;
         match self.group().version == version {
@@ -324,7 +326,7 @@
     pub fn settle(self: &Rc<Self>, settlement: &Settlement) {
         let group = self.group();
         for member in &group.members {
-            let ask = Ask::Settle(settlement.clone());
+            let ask = MemberRequest::Settle(settlement.clone());
             drop(self.spawn_ask(group.version, member, ask, DISK_TIMEOUT_MS));
         }
     }
@@ -356,7 +358,7 @@
         let mut candidates = self.nearest_first(key).into_iter();
         let copies = group.copies().max(1);
         let ask_next = |member: Member| {
-            let ask = Ask::StoreTurn(record.clone());
+            let ask = MemberRequest::StoreTurn(record.clone());
             self.spawn_ask(group.version, &member, ask, STORE_TURN_TIMEOUT_MS)
         };
         let mut pending = FuturesUnordered::new();
@@ -368,8 +370,8 @@
         while stored < copies {
             tokio::select! {
                 answer = pending.next() => match answer {
-                    Some(Ok(Ok(Answer::Done))) => stored += 1,
-                    Some(Ok(Ok(Answer::Closed(newer)))) => {
+                    Some(Ok(Ok(MemberResponse::Done))) => stored += 1,
+                    Some(Ok(Ok(MemberResponse::GroupSuperseded(newer)))) => {
                         self.adopt(newer);
                         return Err(NoQuorum);
                     }
@@ -411,7 +413,7 @@
         let group = self.group();
         let mut candidates = self.nearest_first(turn).into_iter();
         let ask_next = |member: Member| {
-            let ask = Ask::Chain {
+            let ask = MemberRequest::Chain {
                 turn: turn.to_string(),
                 max_chain_turns,
             };
@@ -428,15 +430,15 @@
         loop {
             tokio::select! {
                 answer = pending.next() => match answer {
-                    Some(Ok(Ok(Answer::Chain(turns)))) if !turns.is_empty() => {
+                    Some(Ok(Ok(MemberResponse::Chain(turns)))) if !turns.is_empty() => {
                         return Ok(ChainLookup::Turns(turns));
                     }
-                    Some(Ok(Ok(Answer::Closed(newer)))) => {
+                    Some(Ok(Ok(MemberResponse::GroupSuperseded(newer)))) => {
                         self.adopt(newer);
                         return Err(NoQuorum);
                     }
                     Some(answer) => {
-                        missing_at += usize::from(matches!(answer, Ok(Ok(Answer::Chain(_)))));
+                        missing_at += usize::from(matches!(answer, Ok(Ok(MemberResponse::Chain(_)))));
                         if missing_at >= needed_misses && !group.members.is_empty() {
                             return Ok(ChainLookup::Missing);
                         }
@@ -462,7 +464,7 @@
         configuration_version: u64,
         wants: Vec<QuotaRequest>,
     ) -> Option<Vec<u32>> {
-        let ask = Ask::TakeQuota {
+        let ask = MemberRequest::TakeQuota {
             configuration_version,
             wants,
         };
@@ -471,8 +473,8 @@
             .ask(group_version, member, ask, MEMORY_TIMEOUT_MS)
             .await
         {
-            Ok(Answer::Quota(granted)) => Some(granted),
-            Ok(Answer::Closed(newer)) => {
+            Ok(MemberResponse::Quota(granted)) => Some(granted),
+            Ok(MemberResponse::GroupSuperseded(newer)) => {
                 self.adopt(newer);
                 None
             }
@@ -505,9 +507,9 @@
         known_revision: u64,
     ) -> Option<SharedConfiguration> {
         let version = self.group().version;
-        let ask = Ask::Configuration { known_revision };
+        let ask = MemberRequest::Configuration { known_revision };
         match self.ask(version, member, ask, MEMORY_TIMEOUT_MS).await {
-            Ok(Answer::Configuration(found)) => Some(found),
+            Ok(MemberResponse::Configuration(found)) => Some(found),
             _ => None,
         }
     }
@@ -519,12 +521,12 @@
         let member = self.nearest_first("presence").into_iter().next();
         let member =
             member.filter(|one| one.availability_zone == self.availability_zone)?;
-        let ask = Ask::Presence {
+        let ask = MemberRequest::Presence {
             instance: instance.to_string(),
         };
         let version = self.group().version;
         match self.ask(version, &member, ask, MEMORY_TIMEOUT_MS).await {
-            Ok(Answer::Presence(presence)) => Some(presence),
+            Ok(MemberResponse::Presence(presence)) => Some(presence),
             _ => None,
         }
     }
@@ -540,10 +542,10 @@
             let asked = self.ask(
                 version,
                 &member,
-                Ask::Endpoints { known },
+                MemberRequest::Endpoints { known },
                 MEMORY_TIMEOUT_MS,
             );
-            if let Ok(Answer::Endpoints(endpoints)) = asked.await {
+            if let Ok(MemberResponse::Endpoints(endpoints)) = asked.await {
                 return Some(endpoints);
             }
         }
--- a/crates/gateway/src/edge/pool.rs
+++ b/crates/gateway/src/edge/pool.rs
@@ -30,7 +30,11 @@
 
 impl Pool {
     /// Removes and returns the most recently used connection that can still carry a request.
-    pub(crate) fn take(&mut self, now_ms: u64, key: EndpointKey) -> Option<HttpConnection> {
+    pub(crate) fn take(
+        &mut self,
+        now_ms: u64,
+        key: EndpointKey,
+    ) -> Option<HttpConnection> {
         let idle = self.idle.get_mut(&key)?;
         while let Some(last) = idle.pop() {
             if last.usable_until_ms > now_ms && last.link.is_ready() {
--- a/crates/gateway/src/edge/quota.rs
+++ b/crates/gateway/src/edge/quota.rs
@@ -100,7 +100,10 @@
     /// Fetches tokens in advance for customers with recent demand.
     pub(crate) async fn refill_quota(self: &Rc<Self>) {
         let configuration = self.configuration();
-        let requested = self.quota.borrow_mut().wanted(now_ms(), PREFETCH_MS);
+        let requested = self
+            .quota
+            .borrow_mut()
+            .tokens_to_request(now_ms(), PREFETCH_MS);
         let mut wants: Vec<QuotaRequest> = requested
             .into_iter()
             .filter_map(|(customer, requests)| {
@@ -109,7 +112,7 @@
                     customer,
                     program: None,
                     requests,
-                    quota_purpose: QuotaPurpose::Advance,
+                    quota_purpose: QuotaPurpose::Prefetch,
                     budget: None,
                     limit,
                 })
--- a/crates/gateway/src/edge/sync.rs
+++ b/crates/gateway/src/edge/sync.rs
@@ -13,7 +13,7 @@
 use crate::edge::Edge;
 use crate::edge::quota::REFILL_INTERVAL_MS;
 use crate::endpoint_view::{
-    CHANGE_BATCH_MS, EndpointWatcher, EndpointUpdate, EndpointView, ENTRY_WATCH_MS,
+    CHANGE_BATCH_MS, ENTRY_WATCH_MS, EndpointUpdate, EndpointView, EndpointWatcher,
 };
 use crate::membership::GROUP_RECORD;
 use crate::presence::{PRESENCE_INTERVAL_MS, is_majority_absent};
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -15,7 +15,7 @@
 use bytes::{Bytes, BytesMut};
 use futures::future::LocalBoxFuture;
 use futures::{FutureExt, SinkExt, StreamExt};
-use jayreel_ledger::{Answer, Ask, Member, Reply, Request};
+use jayreel_ledger::{Member, MemberRequest, MemberResponse, Reply, Request};
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::{Mutex, mpsc, oneshot};
@@ -59,7 +59,7 @@
 }
 
 /// Senders for the answers that are awaited, by request id.
-type PendingAnswers = Rc<RefCell<HashMap<u64, oneshot::Sender<Answer>>>>;
+type PendingAnswers = Rc<RefCell<HashMap<u64, oneshot::Sender<MemberResponse>>>>;
 
 struct Connection {
     outgoing: mpsc::UnboundedSender<Request>,
@@ -109,9 +109,9 @@
     pub(crate) async fn ask(
         &self,
         group_version: u64,
-        ask: Ask,
+        ask: MemberRequest,
         timeout_ms: u64,
-    ) -> Result<Answer, LinkError> {
+    ) -> Result<MemberResponse, LinkError> {
         let connection = self.connection().await?;
         let (sender, receiver) = oneshot::channel();
         let id = connection.next_id.get();
@@ -121,7 +121,7 @@
         let request = Request {
             id,
             group_version,
-            ask,
+            body: ask,
         };
         if connection.outgoing.send(request).is_err() {
             self.abandon(&connection).await;
@@ -183,7 +183,7 @@
 }
 
 /// The pending answer to a request.
-pub type AnswerFuture = LocalBoxFuture<'static, Result<Answer, LinkError>>;
+pub type AnswerFuture = LocalBoxFuture<'static, Result<MemberResponse, LinkError>>;
 
 /// Sends requests to instances with a disk. Tests replace it by a simulated group.
 pub trait MemberClient {
@@ -196,7 +196,7 @@
         &self,
         member: &Member,
         group_version: u64,
-        ask: Ask,
+        ask: MemberRequest,
         timeout_ms: u64,
     ) -> AnswerFuture;
 }
@@ -206,7 +206,7 @@
         &self,
         member: &Member,
         group_version: u64,
-        ask: Ask,
+        ask: MemberRequest,
         timeout_ms: u64,
     ) -> AnswerFuture {
         let link = self.to(member);
@@ -269,7 +269,7 @@
             Ok(reply) => {
                 let sender = pending.borrow_mut().remove(&reply.id);
                 // A request that timed out no longer waits, so its answer is dropped.
-                let _ = sender.map(|sender| sender.send(reply.answer));
+                let _ = sender.map(|sender| sender.send(reply.body));
             }
             Err(error) => {
                 log::warn!("event=reply_unreadable reason={error:?}");
--- a/crates/gateway/src/storage/maintenance.rs
+++ b/crates/gateway/src/storage/maintenance.rs
@@ -12,7 +12,9 @@
 use crate::config::Configuration;
 use crate::directory::{MetadataError, RetirementState};
 use crate::endpoint_view::{CHANGE_BATCH_MS, EndpointWatcher, MEMBER_WATCH_MS};
-use crate::membership::{COPY_DELAY_MS, GROUP_RECORD, MEMBER_RECORD_PREFIX, Proposal, Watcher};
+use crate::membership::{
+    COPY_DELAY_MS, GROUP_RECORD, MEMBER_RECORD_PREFIX, Proposal, Watcher,
+};
 use crate::storage::node::{ConfigurationUpdate, Event};
 use crate::storage::serve::StorageProcess;
 
@@ -306,8 +308,7 @@
     // The first read after a start must return the newest record: an instance that lost its
     // disk may have promised to vote in no older version. Later a stale read does no harm,
     // because an older group is ignored and a change that is based on it fails.
-    let allow_stale =
-        process.node.borrow().has_voted() || process.has_read_group.get();
+    let allow_stale = process.node.borrow().has_voted() || process.has_read_group.get();
     let records = process
         .store
         .internal_records(GROUP_RECORD, allow_stale)
@@ -357,7 +358,10 @@
 /// Creates the first group from the instances that have registered. Does nothing if another
 /// instance was faster.
 async fn create_group(process: &StorageProcess) -> Result<(), MetadataError> {
-    let records = process.store.internal_records(MEMBER_RECORD_PREFIX, false).await?;
+    let records = process
+        .store
+        .internal_records(MEMBER_RECORD_PREFIX, false)
+        .await?;
     let candidates: Vec<Member> = records
         .iter()
         .map(|record| decode(&record.content))
--- a/crates/gateway/src/storage/requests.rs
+++ b/crates/gateway/src/storage/requests.rs
@@ -161,7 +161,7 @@
                 self.share_configuration(now_ms, known_revision)
             }
             MemberRequest::Presence { instance } => {
-                MemberResponse::Presence(self.presence.hear(now_ms, &instance))
+                MemberResponse::Presence(self.presence.record_message(now_ms, &instance))
             }
             MemberRequest::Endpoints { known } => self.share_endpoints(now_ms, known),
             _ => MemberResponse::NotVoting,
--- a/crates/spec/src/ledger.rs
+++ b/crates/spec/src/ledger.rs
@@ -279,7 +279,7 @@
         let instance = &mut self.instances[to];
         instance.facts.extend(&source.facts);
         if let MembershipState::CatchingUp(progress) = &mut instance.standing {
-            progress.record(&name(from));
+            progress.mark_copied(&name(from));
             if progress.is_complete() {
                 instance.standing = MembershipState::Voting;
                 instance.complete = Some(version);
