--- a/crates/programs/src/calls.rs
+++ b/crates/programs/src/calls.rs
@@ -1,4 +1,4 @@
-//! Admitting, finishing and failing the calls of programs.
+//! Admits calls of programs, queues them and records their end.
 
 use jayreel_model::{Ran, Refusal, RefusalReason, RequestId};
 
@@ -12,29 +12,31 @@
 use crate::programs::{Programs, ended, ended_refusal};
 use crate::token::CacheTag;
 
-/// Most calls of one program that wait at the same time.
+/// Largest number of waiting calls of one program. Further calls are refused.
 pub const MAX_WAITING_CALLS: usize = 64;
 
-/// Time after which a budget that other calls have reserved may be free again.
+/// Retry delay suggested to a caller whose call does not fit into the budget while other
+/// calls hold reservations: when they end, unused tokens become free.
 const RESERVED_RETRY_MS: u64 = 1_000;
 
 impl Programs {
-    /// Asks whether a call may run. The checks are, in this order: the program is live;
-    /// the named epoch; the idempotency key; the turn; the turn limit; the budget.
+    /// Decides whether a call may run now, must wait or is refused. Checks, in this
+    /// order: that the program is live; the epoch that the call names; the idempotency
+    /// key; the turn; the turn limit; the length of the queue; the budget.
     pub fn admit(
         &mut self,
         now_ms: u64,
         program: ProgramId,
-        facts: CallParams,
+        params: CallParams,
     ) -> Admission {
-        match self.check(program, &facts) {
-            Ok(key) => self.enqueue(now_ms, program, WaitingCall { facts, key }),
+        match self.check(program, &params) {
+            Ok(key) => self.enqueue(now_ms, program, WaitingCall { params, key }),
             Err(refusal) => Admission::Refuse(refusal),
         }
     }
 
-    /// Ends a call that ran. Without a usage the whole reservation counts as used. A call
-    /// that is not running is ignored.
+    /// Ends a call that ran. If `usage` is `None`, the whole reservation counts as used.
+    /// A call that is not running is ignored.
     pub fn finish(
         &mut self,
         now_ms: u64,
@@ -44,9 +46,9 @@
         self.end_call(now_ms, request_id, Ran::Yes, usage)
     }
 
-    /// Ends a call that failed, whether it waits or runs. If it did not run, its turn, its
-    /// idempotency key and its reservation are given back; otherwise the reservation
-    /// counts as used.
+    /// Ends a call that failed, whether it was waiting or running. If it did not run, its
+    /// turn, its idempotency key and its reservation are released; otherwise the whole
+    /// reservation counts as used.
     pub fn fail(
         &mut self,
         now_ms: u64,
@@ -68,27 +70,27 @@
     fn check(
         &self,
         id: ProgramId,
-        facts: &CallParams,
+        params: &CallParams,
     ) -> Result<Option<KeyDigest>, Refusal> {
         self.check_serving()?;
         let program = self.programs.get(&id).ok_or_else(ended_refusal)?;
         if program.closing {
             return Err(ended_refusal());
         }
-        check_epoch(program, facts, &self.config.own)?;
-        let key = check_key(program, facts)?;
-        check_turn(program, facts)?;
+        check_epoch(program, params, &self.config.own)?;
+        let key = check_key(program, params)?;
+        check_turn(program, params)?;
         if program.waiting.len() >= MAX_WAITING_CALLS {
             return Err(Refusal::not_run(
                 RefusalReason::Overloaded,
-                "too many calls of the program wait",
+                "too many calls of the program are waiting",
             ));
         }
         Ok(key)
     }
 
     fn enqueue(&mut self, now_ms: u64, id: ProgramId, call: WaitingCall) -> Admission {
-        let request_id = call.facts.request_id;
+        let request_id = call.params.request_id;
         let Some(program) = self.programs.get_mut(&id) else {
             return Admission::Refuse(ended_refusal());
         };
@@ -102,22 +104,23 @@
         if !is_first {
             return Admission::Wait;
         }
-        let mut transition = ProgramEffects::default();
-        self.start_next(id, &mut transition);
-        match transition.resolved.pop() {
+        let mut effects = ProgramEffects::default();
+        self.start_next(id, &mut effects);
+        match effects.resolved.pop() {
             Some(resolved) => resolved.admission,
             None => Admission::Wait,
         }
     }
 
-    /// Starts the first waiting call, or refuses it and tries the next.
-    pub(crate) fn start_next(&mut self, id: ProgramId, transition: &mut ProgramEffects) {
+    /// Starts the first waiting call that is not refused, and adds the answers to
+    /// `effects`.
+    pub(crate) fn start_next(&mut self, id: ProgramId, effects: &mut ProgramEffects) {
         while let Some((request_id, admission)) = self.try_start(id) {
             let is_refused = matches!(admission, Admission::Refuse(_));
             if is_refused {
                 self.calls.remove(&request_id);
             }
-            transition.resolved.push(DeferredAdmission {
+            effects.resolved.push(DeferredAdmission {
                 request_id,
                 admission,
             });
@@ -127,6 +130,9 @@
         }
     }
 
+    /// Tries to start the first waiting call. `None` if there is nothing new to answer:
+    /// no call waits, another one runs, or the first was already told that it needs a
+    /// grant.
     fn try_start(&mut self, id: ProgramId) -> Option<(RequestId, Admission)> {
         let program = self.programs.get_mut(&id)?;
         if program.running.is_some() {
@@ -134,8 +140,8 @@
         }
         let account = &mut self.accounts.get_mut(&program.token.root)?.account;
         let call = program.waiting.front()?;
-        let request_id = call.facts.request_id;
-        let reservation = reserve(program, account, &call.facts);
+        let request_id = call.params.request_id;
+        let reservation = reserve(program, account, &call.params);
         match reservation {
             Ok(Reservation::NeedsGrant) if program.needs_grant => None,
             Ok(Reservation::NeedsGrant) => {
@@ -168,18 +174,18 @@
         ran: Ran,
         usage: Option<Usage>,
     ) -> ProgramEffects {
-        let mut transition = ProgramEffects::default();
+        let mut effects = ProgramEffects::default();
         let Some(id) = self.calls.get(&request_id).copied() else {
-            return transition;
+            return effects;
         };
         let Some(program) = self.programs.get_mut(&id) else {
-            return transition;
+            return effects;
         };
         let Some(call) = program
             .running
             .take_if(|call| call.request_id == request_id)
         else {
-            return transition;
+            return effects;
         };
         self.calls.remove(&request_id);
         record_outcome(program, &call, ran);
@@ -188,22 +194,17 @@
             settle(&mut entry.account, call.reserved_tokens, ran, usage);
         }
         self.touch(now_ms, id);
-        self.after_call(now_ms, id, &mut transition);
-        self.retry_account(&root, &mut transition);
-        transition
+        self.after_call(now_ms, id, &mut effects);
+        self.retry_account(&root, &mut effects);
+        effects
     }
 
-    fn after_call(
-        &mut self,
-        now_ms: u64,
-        id: ProgramId,
-        transition: &mut ProgramEffects,
-    ) {
+    fn after_call(&mut self, now_ms: u64, id: ProgramId, effects: &mut ProgramEffects) {
         let Some(program) = self.programs.get_mut(&id) else {
             return;
         };
         if program.closing {
-            self.end(now_ms, id, EndReason::Closed, transition);
+            self.end(now_ms, id, EndReason::Closed, effects);
             return;
         }
         let is_spent = self
@@ -212,18 +213,19 @@
             .is_some_and(|entry| entry.account.is_exhausted());
         if is_spent && !program.exhausted {
             program.exhausted = true;
-            transition
+            effects
                 .ended
                 .push(ended(id, program, EndReason::BudgetExhausted));
         }
-        self.start_next(id, transition);
+        self.start_next(id, effects);
     }
 
-    /// Tries calls that waited for a grant, since a settled call may have left enough.
+    /// Retries the calls of an account that need a grant. A larger grant, or tokens that
+    /// a finished call did not use, may now suffice.
     pub(crate) fn retry_account(
         &mut self,
         root: &CacheTag,
-        transition: &mut ProgramEffects,
+        effects: &mut ProgramEffects,
     ) {
         let members = self.accounts.get(root).map(|entry| entry.members.clone());
         for id in members.into_iter().flatten() {
@@ -232,7 +234,7 @@
                 .get(&id)
                 .is_some_and(|program| program.needs_grant);
             if waits {
-                self.start_next(id, transition);
+                self.start_next(id, effects);
             }
         }
     }
@@ -243,17 +245,17 @@
         id: ProgramId,
         request_id: RequestId,
     ) -> ProgramEffects {
-        let mut transition = ProgramEffects::default();
+        let mut effects = ProgramEffects::default();
         self.calls.remove(&request_id);
         let Some(program) = self.programs.get_mut(&id) else {
-            return transition;
+            return effects;
         };
         let position = program
             .waiting
             .iter()
-            .position(|call| call.facts.request_id == request_id);
+            .position(|call| call.params.request_id == request_id);
         let Some(position) = position else {
-            return transition;
+            return effects;
         };
         if position == 0 {
             program.needs_grant = false;
@@ -263,8 +265,8 @@
             program.keys.remove(&key);
         }
         self.touch(now_ms, id);
-        self.start_next(id, &mut transition);
-        transition
+        self.start_next(id, &mut effects);
+        effects
     }
 }
 
@@ -272,7 +274,7 @@
     let refusal = Refusal::not_run(
         RefusalReason::BudgetExhausted,
         format!(
-            "{} tokens are left in the budget",
+            "the budget has {} tokens left, which is too few for the call",
             account.remaining_tokens()
         ),
     );
@@ -282,30 +284,31 @@
     }
 }
 
-/// Earlier calls may have given back their turn or used up the limit since the call began
-/// to wait, so the turn is checked again.
+/// Reserves the call's tokens. Checks the turn again, because an earlier call that did
+/// not run may have given its turn back since this call was queued.
 fn reserve(
     program: &Program,
     account: &mut Account,
-    facts: &CallParams,
+    params: &CallParams,
 ) -> Result<Reservation, Refusal> {
-    let next = program.next_turn.or(facts.turn).unwrap_or(0);
-    match facts.turn {
+    let next = program.next_turn.or(params.turn).unwrap_or(0);
+    match params.turn {
         Some(turn) if turn != next => Err(turn_refusal(turn, next)),
-        _ => Ok(account.reserve(facts.prompt_bound_tokens, facts.max_tokens)),
+        _ => Ok(account.reserve(params.prompt_bound_tokens, params.max_tokens)),
     }
 }
 
+/// Marks the first waiting call as running and returns its turn.
 fn run_first(program: &mut Program, reserved_tokens: u64) -> u32 {
     let call = program
         .waiting
         .pop_front()
-        .expect("the first call was just read");
-    let turn = program.next_turn.or(call.facts.turn).unwrap_or(0);
+        .expect("the caller checked that a call is waiting");
+    let turn = program.next_turn.or(call.params.turn).unwrap_or(0);
     program.needs_grant = false;
     program.next_turn = Some(turn.saturating_add(1));
     program.running = Some(RunningCall {
-        request_id: call.facts.request_id,
+        request_id: call.params.request_id,
         key: call.key,
         reserved_tokens,
         turn,
--- a/crates/programs/src/checks.rs
+++ b/crates/programs/src/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of a call against its program that change nothing.
+//! Read-only checks of a call against the state of its program.
 
 use jayreel_model::{Incarnation, Ran, Refusal, RefusalReason};
 
@@ -6,15 +6,16 @@
 use crate::idempotency::{KeyDigest, KeyState};
 use crate::program::Program;
 
-/// A non-repeatable call runs only where all calls of the epoch that it names are known.
-/// Without the header it names the incarnation that opened the program.
+/// Refuses a non-repeatable call unless all calls of the epoch (incarnation) that it
+/// names are known here. A call without the `Jayreel-Epoch` header names the incarnation
+/// that opened the program.
 pub(crate) fn check_epoch(
     program: &Program,
-    facts: &CallParams,
+    params: &CallParams,
     own: &Incarnation,
 ) -> Result<(), Refusal> {
-    let epoch = facts.epoch.as_ref().unwrap_or(&program.token.owner);
-    if facts.repeatable || program.known_epochs.contains(epoch) {
+    let epoch = params.epoch.as_ref().unwrap_or(&program.token.owner);
+    if params.repeatable || program.known_epochs.contains(epoch) {
         return Ok(());
     }
     Err(Refusal {
@@ -22,36 +23,41 @@
         ran: Ran::Unknown,
         retry_after_ms: None,
         message: format!(
-            "the call may have run at {epoch}; repeat it with epoch {own} if it has not"
+            "the call may have run at {epoch}; if it has not, retry it with epoch {own}"
         ),
     })
 }
 
+/// Returns the digest under which the call's idempotency key is to be stored, or a
+/// refusal if the key was used before.
 pub(crate) fn check_key(
     program: &Program,
-    facts: &CallParams,
+    params: &CallParams,
 ) -> Result<Option<KeyDigest>, Refusal> {
-    let Some(text) = &facts.idempotency_key else {
+    let Some(text) = &params.idempotency_key else {
         return Ok(None);
     };
     let key = KeyDigest::of(&program.token.customer, text)?;
     match program.keys.get(&key) {
         None => Ok(Some(key)),
-        // The key stays unknown for non-repeatable calls.
-        Some(KeyState::Unknown) if facts.repeatable => Ok(None),
+        // A repeatable call may run again, but does not replace the stored outcome: a
+        // non-repeatable call with this key must still be refused.
+        Some(KeyState::Unknown) if params.repeatable => Ok(None),
         Some(state) => Err(state.refusal()),
     }
 }
 
-pub(crate) fn check_turn(program: &Program, facts: &CallParams) -> Result<(), Refusal> {
-    let expected = program.expected_turn().or(facts.turn).unwrap_or(0);
-    if let Some(turn) = facts.turn.filter(|turn| *turn != expected) {
+/// Refuses a call that names another turn than the next free one, or exceeds the turn
+/// limit.
+pub(crate) fn check_turn(program: &Program, params: &CallParams) -> Result<(), Refusal> {
+    let expected = program.expected_turn().or(params.turn).unwrap_or(0);
+    if let Some(turn) = params.turn.filter(|turn| *turn != expected) {
         return Err(turn_refusal(turn, expected));
     }
     if expected >= program.max_turns {
         return Err(Refusal::not_run(
             RefusalReason::BudgetExhausted,
-            format!("the program may have {} turns", program.max_turns),
+            format!("the program is limited to {} turns", program.max_turns),
         ));
     }
     Ok(())
@@ -60,6 +66,6 @@
 pub(crate) fn turn_refusal(turn: u32, expected: u32) -> Refusal {
     Refusal::not_run(
         RefusalReason::WrongTurn,
-        format!("the call names turn {turn}, the next turn is {expected}"),
+        format!("the call is for turn {turn}, but the next turn is {expected}"),
     )
 }
--- a/crates/programs/src/grants.rs
+++ b/crates/programs/src/grants.rs
@@ -1,11 +1,14 @@
-//! Budget grants as recorded in the store.
+//! Budget grants and the record of them in the store.
 //!
-//! The shell writes a [`BudgetRecord`] under [`budget_key`] in one transaction with two
-//! conditions: the revision of the value that it last read or wrote, so that an older
-//! write that is still under way cannot replace a newer one; and that
-//! [`takeover_key`](crate::ownership::takeover_key) of the own incarnation does not exist,
-//! so that a successor that reads the record after creating its takeover record has read
-//! the last one.
+//! A grant is the number of tokens that a program may have spent when its incarnation
+//! crashes; a successor charges it. The fleet crate writes a [`BudgetRecord`] under
+//! [`budget_key`] in a transaction with two conditions:
+//!
+//! - The key has the revision that this incarnation last read or wrote, so that a delayed
+//!   older write cannot replace a newer one.
+//! - [`takeover_key`](crate::ownership::takeover_key) of this incarnation does not exist.
+//!   A successor reads the budget record after it created the takeover record, so it
+//!   reads the last one.
 
 use std::collections::BTreeMap;
 
@@ -18,71 +21,77 @@
 use crate::programs::{Programs, ended_refusal};
 use crate::token::{CacheTag, ProgramToken};
 
-/// Largest encoded [`BudgetRecord`] in bytes. The store holds values up to 1 MB.
+/// Largest encoded size of a [`BudgetRecord`], in bytes. The store accepts values up to 1
+/// MB.
 pub const MAX_RECORD_BYTES: usize = 1_000_000;
 
-/// Brackets, commas and two numbers of up to 20 digits.
+/// Upper bound of the encoded size of a grant: brackets, commas and two numbers of up to
+/// 20 digits.
 const ENTRY_BYTES: usize = 44;
 
-/// Quotes, colon, brackets and comma around the entries of one owner.
+/// Quotes, colon, brackets and comma around the grants of one owner in `adopted`.
 const OWNER_BYTES: usize = 8;
 
-/// The store key of the grants of an incarnation.
+/// The store key of an incarnation's [`BudgetRecord`].
 pub fn budget_key(incarnation: &Incarnation) -> String {
     format!("budgets/{incarnation}")
 }
 
-/// Sequence number of a root program and its grant in tokens.
+/// The sequence number of a root program within its owner, and its grant in tokens.
 pub type Grant = (u64, u64);
 
-/// All grants of one incarnation: the value of one store key.
+/// All grants of one incarnation, stored as JSON under [`budget_key`].
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct BudgetRecord {
-    /// The incarnation whose grants these are.
+    /// The incarnation that made the grants.
     pub incarnation: Incarnation,
-    /// Set on a planned stop: the grants are the exact spending, and a successor need not
-    /// charge the first tranche.
+    /// Set on a planned stop. The grants are then the exact spending, and a successor
+    /// need not charge the first tranche.
     pub is_final: bool,
-    /// Programs with this number or a higher one were opened after the record was made.
+    /// Programs with this sequence number or a higher one were opened after the record
+    /// was made.
     pub next_sequence: u64,
-    /// The live root programs of the incarnation. A lower number that is absent ended.
+    /// The live root programs that the incarnation opened. A program that is absent and
+    /// has a sequence number below `next_sequence` has ended.
     pub live: Vec<Grant>,
-    /// Root programs of predecessors, by owner.
+    /// Root programs taken over from predecessors, by owner.
     pub adopted: BTreeMap<Incarnation, Vec<Grant>>,
 }
 
 impl BudgetRecord {
-    /// Upper bound of the encoded size without grants.
+    /// Upper bound of the encoded size without grants, in bytes.
     pub(crate) const FIXED_BYTES: usize = 4_096;
 
-    /// Upper bound of the encoded size of one grant in a record of `own`.
+    /// Upper bound of the encoded size of the grant for `root` in a record of `own`, in
+    /// bytes.
     pub(crate) fn entry_bytes(own: &Incarnation, root: &CacheTag) -> usize {
         if root.owner == *own {
             return ENTRY_BYTES;
         }
-        // A character of a name takes up to 6 bytes in JSON.
+        // JSON escapes a character of a name with up to 6 bytes.
         ENTRY_BYTES + OWNER_BYTES + 6 * root.owner.to_string().len()
     }
 
-    /// The value for the store, at most [`MAX_RECORD_BYTES`].
+    /// Encodes the record for the store. At most [`MAX_RECORD_BYTES`] long.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("a budget record is plain data")
     }
 
-    /// Reads the value of the store.
+    /// Decodes a value from the store.
     ///
     /// # Errors
     ///
-    /// Any error of JSON or of its form.
+    /// The value is not JSON or has unknown, missing or malformed fields.
     pub fn decode(value: &[u8]) -> Result<BudgetRecord, serde_json::Error> {
         serde_json::from_slice(value)
     }
 
-    /// What a program opened by the incarnation may have spent. `None` if it ended.
+    /// The tokens that a program may have spent at the incarnation that opened it. `None`
+    /// if the program ended there.
     fn own_charge(&self, token: &ProgramToken) -> Option<u64> {
         let sequence = token.root.sequence;
-        let grant = find(&self.live, sequence);
+        let grant = find_grant(&self.live, sequence);
         match grant {
             Some(tokens) if self.is_final => Some(tokens),
             Some(tokens) => Some(tokens.max(token.first_tranche_tokens)),
@@ -91,24 +100,24 @@
         }
     }
 
-    /// What the incarnation may have spent on a program of a predecessor.
+    /// The tokens that the incarnation may have spent on a program of a predecessor.
     fn adopted_charge(&self, root: &CacheTag) -> u64 {
         let grants = self.adopted.get(&root.owner);
         grants
-            .and_then(|grants| find(grants, root.sequence))
+            .and_then(|grants| find_grant(grants, root.sequence))
             .unwrap_or(0)
     }
 }
 
-fn find(grants: &[Grant], sequence: u64) -> Option<u64> {
+fn find_grant(grants: &[Grant], sequence: u64) -> Option<u64> {
     let grant = grants.iter().find(|grant| grant.0 == sequence);
     grant.map(|grant| grant.1)
 }
 
 impl Programs {
-    /// The record to write next, if any program needs a larger grant. Returns `None` until
-    /// the last one was answered by [`Programs::budget_record_written`] or
-    /// [`Programs::budget_record_failed`].
+    /// Returns the budget record to write if any program needs a larger grant. Returns
+    /// `None` while a write is pending: until [`Programs::budget_record_written`] or
+    /// [`Programs::budget_record_failed`] was called for it.
     pub fn next_budget_record(&mut self) -> Option<BudgetRecord> {
         let is_needed = self
             .accounts
@@ -121,8 +130,9 @@
         Some(self.budget_record(false, Account::next_grant_tokens))
     }
 
-    /// Takes note of a record that the store confirmed, either in the answer to the write
-    /// or by reading it back. Calls that waited for it may run.
+    /// Applies the grants of a record that is known to be stored, either from the
+    /// response to the write or by reading it back. Returns the answers to calls that
+    /// waited for it.
     pub fn budget_record_written(&mut self, record: &BudgetRecord) -> ProgramEffects {
         self.grant_write_pending = false;
         let own = self.config.own.clone();
@@ -130,18 +140,19 @@
         let adopted = record.adopted.iter().flat_map(|(owner, grants)| {
             grants.iter().map(|grant| (owner.clone(), *grant))
         });
-        let mut transition = ProgramEffects::default();
+        let mut effects = ProgramEffects::default();
         for (owner, (sequence, granted_tokens)) in live.chain(adopted) {
             let root = CacheTag { owner, sequence };
             if let Some(entry) = self.accounts.get_mut(&root) {
                 entry.account.grant(granted_tokens);
-                self.retry_account(&root, &mut transition);
+                self.retry_account(&root, &mut effects);
             }
         }
-        transition
+        effects
     }
 
-    /// Takes note that no record was confirmed. The calls that waited for it are refused.
+    /// Handles a record whose write is not known to have succeeded. Refuses the calls
+    /// that waited for it.
     pub fn budget_record_failed(&mut self) -> ProgramEffects {
         self.grant_write_pending = false;
         for entry in self.accounts.values_mut() {
@@ -153,22 +164,23 @@
             .filter(|(_, program)| program.needs_grant)
             .map(|(id, _)| *id)
             .collect();
-        let mut transition = ProgramEffects::default();
+        let mut effects = ProgramEffects::default();
         for id in waiting {
-            self.refuse_first(id, &mut transition);
-            self.start_next(id, &mut transition);
+            self.refuse_first(id, &mut effects);
+            self.start_next(id, &mut effects);
         }
-        transition
+        effects
     }
 
-    /// Takes note of the last record of a predecessor, `None` if it wrote none. It must be
-    /// read after the takeover record that names this incarnation was created. All
-    /// predecessors of a predecessor must be adopted as well.
+    /// Adds a predecessor with its last budget record, `None` if it wrote none. The
+    /// record must be read after the takeover record that names this incarnation was
+    /// created. The predecessors of a predecessor must be adopted as well.
     pub fn adopt(&mut self, predecessor: Incarnation, record: Option<BudgetRecord>) {
         self.predecessors.entry(predecessor).or_insert(record);
     }
 
-    /// Takes over the program of a predecessor on its first call.
+    /// Adds the program of a predecessor on its first call here, charging the tokens that
+    /// the predecessors may have spent.
     pub(crate) fn adopt_program(
         &mut self,
         now_ms: u64,
@@ -233,19 +245,19 @@
         record
     }
 
-    fn refuse_first(&mut self, id: ProgramId, transition: &mut ProgramEffects) {
+    fn refuse_first(&mut self, id: ProgramId, effects: &mut ProgramEffects) {
         let Some(program) = self.programs.get_mut(&id) else {
             return;
         };
         let Some(call) = program.drop_first() else {
             return;
         };
-        self.calls.remove(&call.facts.request_id);
-        transition.resolved.push(DeferredAdmission {
-            request_id: call.facts.request_id,
+        self.calls.remove(&call.params.request_id);
+        effects.resolved.push(DeferredAdmission {
+            request_id: call.params.request_id,
             admission: Admission::Refuse(Refusal::not_run(
                 RefusalReason::StoreUnavailable,
-                "the next part of the budget cannot be recorded",
+                "the next part of the budget could not be recorded in the store",
             )),
         });
     }
--- a/crates/programs/src/handover.rs
+++ b/crates/programs/src/handover.rs
@@ -1,8 +1,8 @@
-//! Handing programs to a successor on a planned stop.
+//! Transfers all programs to a successor on a planned stop.
 //!
-//! The shell writes [`Handover::record`] and the takeover record in one transaction, then
-//! sends the handover to the successor. If the message is lost, the successor treats the
-//! programs as after a crash, but with their exact spending.
+//! The fleet crate writes [`Handover::record`] and the takeover record in one
+//! transaction, then sends the handover to the successor. If that message is lost, the
+//! successor adopts the programs as after a crash, but with their exact spending.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,57 +16,58 @@
 use crate::programs::Programs;
 use crate::token::{CacheTag, ProgramToken};
 
-/// One program as handed over. It has no running or waiting call.
+/// The state of one program in a handover. It has no running or waiting calls.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProgramRecord {
-    /// What the caller's token states.
+    /// The content of the program's token.
     pub token: ProgramToken,
-    /// The program that opened a sub-agent.
+    /// The program that opened a sub-agent. `None` for a root program.
     pub parent: Option<CacheTag>,
-    /// Most calls, from the profile.
+    /// Turn limit from the profile.
     pub max_turns: u32,
-    /// Idle time of the profile.
+    /// Idle timeout from the profile.
     pub idle_timeout_ms: u64,
-    /// The next turn, if known.
+    /// Turn of the next call, if known.
     pub next_turn: Option<u32>,
-    /// Idempotency keys and what is known of their calls.
+    /// Digests of idempotency keys with the outcome of their calls.
     pub keys: Vec<(KeyDigest, KeyState)>,
-    /// Incarnations whose calls are all covered by this record.
+    /// Incarnations all of whose calls to the program are reflected in this record.
     pub known_epochs: BTreeSet<Incarnation>,
 }
 
-/// The exact use of one budget.
+/// The state of one budget account in a handover.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct AccountRecord {
-    /// The root program.
+    /// The tag of the root program.
     pub root: CacheTag,
-    /// The budget in tokens.
+    /// The whole budget in tokens.
     pub budget_tokens: u64,
-    /// The least growth of a grant in tokens.
+    /// The smallest step by which a grant grows, in tokens.
     pub tranche_tokens: u64,
-    /// Tokens used.
+    /// The exact number of tokens used.
     pub spent_tokens: u64,
     /// Service received, in thousandths of a prompt token.
     pub service_mtokens: u64,
 }
 
-/// All programs of an incarnation that stops.
+/// All programs of an incarnation that is stopping.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Handover {
-    /// The last grants of the incarnation.
+    /// The final budget record of the incarnation.
     pub record: BudgetRecord,
-    /// Budgets.
+    /// The budget accounts that the programs draw on.
     pub accounts: Vec<AccountRecord>,
-    /// Programs, parents before their sub-agents.
+    /// The programs, each parent before its sub-agents.
     pub programs: Vec<ProgramRecord>,
 }
 
 impl Handover {
-    /// Splits the handover into messages of at most `max_programs` programs. Each can be
-    /// imported alone. There is at least one, which holds the record.
+    /// Splits the handover into messages of at most `max_programs` programs that can be
+    /// imported independently and in any order. There is always at least one, and each
+    /// carries the budget record.
     pub fn into_parts(self, max_programs: usize) -> Vec<Handover> {
         let Handover {
             record,
@@ -96,7 +97,7 @@
 
 impl Programs {
     /// Exports all programs and stops serving them. Returns `None` while a call runs or
-    /// waits, or if a successor was recorded before.
+    /// waits, or if the programs were already exported or superseded.
     pub fn export(&mut self) -> Option<Handover> {
         if self.stopped || !self.calls.is_empty() {
             return None;
@@ -106,25 +107,25 @@
         Some(Handover {
             record: self.budget_record(true, |account| account.spent_tokens),
             accounts: accounts
-                .map(|(root, entry)| export(root, &entry.account))
+                .map(|(root, entry)| account_record(root, &entry.account))
                 .collect(),
             programs: self
                 .programs
                 .values()
-                .map(|one| self.export_one(one))
+                .map(|program| self.program_record(program))
                 .collect(),
         })
     }
 
-    /// Serves again after [`Programs::export`], if the takeover record was certainly not
-    /// written.
+    /// Resumes serving after [`Programs::export`]. Call it only if the takeover record is
+    /// known not to have been written.
     pub fn resume(&mut self) {
         self.stopped = false;
     }
 
-    /// Takes over the programs of a handover that names this incarnation as successor.
-    /// Programs and budgets that are already known here are left as they are, since their
-    /// state here is newer: a handover may arrive late or twice.
+    /// Imports the programs of a handover that names this incarnation as successor. A
+    /// handover may arrive late or twice, so programs and budgets that are already known
+    /// keep their state, which is newer.
     pub fn import(&mut self, now_ms: u64, handover: Handover) {
         let predecessor = handover.record.incarnation.clone();
         self.adopt(predecessor, Some(handover.record));
@@ -139,12 +140,12 @@
                 self.by_tag.contains_key(&tag) || self.ended_adopted.contains_key(&tag);
             let account = accounts.get(&program.token.root);
             if let (false, Some(account)) = (is_known, account) {
-                self.import_one(now_ms, program, account);
+                self.import_program(now_ms, program, account);
             }
         }
     }
 
-    fn export_one(&self, program: &Program) -> ProgramRecord {
+    fn program_record(&self, program: &Program) -> ProgramRecord {
         let parent = program.parent.and_then(|id| self.programs.get(&id));
         ProgramRecord {
             token: program.token.clone(),
@@ -161,15 +162,16 @@
         }
     }
 
-    fn import_one(
+    fn import_program(
         &mut self,
         now_ms: u64,
         record: ProgramRecord,
         account: &AccountRecord,
     ) {
-        let added = self.add_account(now_ms, &record.token, || import(account));
+        let added = self.add_account(now_ms, &record.token, || restore_account(account));
         if added.is_err() {
-            // The program is adopted on its first call instead, if there is room then.
+            // There are too many programs. This one is adopted on its first call instead,
+            // if there is room then.
             return;
         }
         let parent = record.parent.and_then(|tag| self.by_tag.get(&tag).copied());
@@ -184,7 +186,7 @@
     }
 }
 
-fn export(root: &CacheTag, account: &Account) -> AccountRecord {
+fn account_record(root: &CacheTag, account: &Account) -> AccountRecord {
     AccountRecord {
         root: root.clone(),
         budget_tokens: account.budget_tokens,
@@ -194,7 +196,7 @@
     }
 }
 
-fn import(record: &AccountRecord) -> Account {
+fn restore_account(record: &AccountRecord) -> Account {
     let AccountRecord {
         budget_tokens,
         tranche_tokens,
--- a/crates/programs/src/idempotency.rs
+++ b/crates/programs/src/idempotency.rs
@@ -1,4 +1,4 @@
-//! What is remembered of idempotency keys.
+//! Digests of idempotency keys and the recorded outcome of their calls.
 
 use std::fmt;
 
@@ -7,10 +7,11 @@
 use jayreel_model::{Ran, Refusal, RefusalReason};
 use serde::{Deserialize, Serialize};
 
-/// Longest accepted idempotency key in bytes.
+/// Largest accepted length of an idempotency key, in bytes.
 pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
 
-/// Hash of a customer's idempotency key, so that long keys cost no memory.
+/// Hash of a customer's idempotency key. Stored instead of the key, so that long keys
+/// take no more memory than short ones.
 #[derive(
     Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -18,7 +19,7 @@
 pub struct KeyDigest([u8; 16]);
 
 impl KeyDigest {
-    /// Hashes a key in the name space of a customer.
+    /// Hashes a key together with its customer, so that customers cannot collide.
     ///
     /// # Errors
     ///
@@ -27,7 +28,7 @@
         if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES {
             return Err(Refusal::not_run(
                 RefusalReason::InvalidRequest,
-                "the idempotency key must have 1 to 256 bytes",
+                "the idempotency key must be 1 to 256 bytes long",
             ));
         }
         let mut hasher = blake3::Hasher::new();
@@ -39,7 +40,7 @@
         Ok(KeyDigest(digest))
     }
 
-    /// The weight of an instance for this key in rendezvous hashing.
+    /// The rendezvous hashing weight of an instance for this key.
     pub(crate) fn weight_of(self, instance: &str) -> [u8; 32] {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&self.0);
@@ -68,32 +69,33 @@
     }
 }
 
-/// Text that is not the hash of an idempotency key.
+/// The error for text that is not a base64url digest of the right length.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ParseKeyDigestError;
 
 impl fmt::Display for ParseKeyDigestError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("expected the hash of an idempotency key in base64url")
+        f.write_str("expected a 16-byte idempotency key digest in base64url")
     }
 }
 
 impl std::error::Error for ParseKeyDigestError {}
 
-/// The state of a key whose call was admitted. A call that did not run leaves no key.
+/// The outcome of the call that used a key. A call that did not run leaves no record.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyState {
-    /// The call waits or runs.
+    /// The call is waiting or running.
     Running,
-    /// The call ran.
+    /// The call has run.
     Ran,
-    /// The call may have run.
+    /// The call may have run; its outcome is not known.
     Unknown,
 }
 
 impl KeyState {
-    /// The state after a call that ended with `ran`, if the key stays.
+    /// The state to record after a call that ended with `ran`. `None` if the key is free
+    /// again.
     pub fn after(ran: Ran) -> Option<KeyState> {
         match ran {
             Ran::No => None,
@@ -102,11 +104,13 @@
         }
     }
 
-    /// The answer to a repeat of the key.
+    /// The answer to another call with the same key.
     pub fn refusal(self) -> Refusal {
         let (ran, message) = match self {
-            KeyState::Running => (Ran::Unknown, "a call with this idempotency key runs"),
-            KeyState::Ran => (Ran::Yes, "the call with this idempotency key ran"),
+            KeyState::Running => {
+                (Ran::Unknown, "a call with this idempotency key is running")
+            }
+            KeyState::Ran => (Ran::Yes, "the call with this idempotency key has run"),
             KeyState::Unknown => (
                 Ran::Unknown,
                 "the call with this idempotency key may have run",
--- a/crates/programs/src/keyed.rs
+++ b/crates/programs/src/keyed.rs
@@ -1,10 +1,11 @@
-//! Non-repeatable calls with an idempotency key but without a program.
+//! Deduplicates non-repeatable calls that have an idempotency key but no program.
 //!
-//! Each key has one responsible instance, chosen by rendezvous hashing over the registered
-//! instances. Two instances may consider themselves responsible for a short time, because
-//! each uses a view of the registrations up to `registration_freshness_ms` old and may
-//! dispatch up to `dispatch_deadline_ms` after its decision. An instance therefore answers
-//! `unknown` until it has been responsible for the window plus these two, or until the
+//! Each key has one responsible instance, chosen by rendezvous hashing over the
+//! registered instances. For a short time two instances may consider themselves
+//! responsible, because each uses a view of the registrations that is up to
+//! `registration_freshness_ms` old and may dispatch a call up to `dispatch_deadline_ms`
+//! after its decision. An instance therefore answers `unknown` until it has been
+//! responsible for longer than the late repeat window plus these two times, or until the
 //! process that was responsible before it has handed over its keys
 //! ([`crate::keyed_handover`]).
 
@@ -14,62 +15,66 @@
 
 use crate::idempotency::{KeyDigest, KeyState};
 pub use crate::keyed_views::responsible;
-use crate::keyed_views::{Inherited, KeyedLimits, View, ViewHistory};
+use crate::keyed_views::{InheritedClaim, KeyedLimits, RegistrationView, ViewHistory};
 
-/// Most remembered keys. One instance takes 39 requests/s at the target size, which is
-/// 35,100 keys in a window of 900 s.
+/// Largest number of stored keys. At the target size one instance takes 39 requests/s,
+/// which makes 35,100 keys in a window of 900 s.
 pub const MAX_KEYS: usize = 200_000;
 
-/// Time after which a caller may ask again.
-const RETRY_MS: u64 = 1_000;
+/// Retry delay suggested to callers while this instance cannot serve a key.
+const RETRY_AFTER_MS: u64 = 1_000;
 
 /// Settings of [`KeyedCalls`].
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct KeyedConfig {
-    /// This process.
+    /// The incarnation of this process.
     pub own: Incarnation,
-    /// For how long a key is remembered after its call ended.
+    /// The late repeat window: for how long a key is stored after its call ended.
     pub late_repeat_window_ms: u64,
-    /// Largest age of the view of the registrations.
+    /// Largest age at which a view of the registrations may be used.
     pub registration_freshness_ms: u64,
-    /// Longest time between a decision and its dispatch.
+    /// Longest time between the decision to send a call and its dispatch.
     pub dispatch_deadline_ms: u64,
 }
 
-/// The answer to a call with a key.
+/// Whether a call with an idempotency key may run here.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum KeyedAdmission {
     /// The call may run here.
     Run,
     /// Another instance is responsible.
     Forward {
-        /// Its name.
+        /// Name of the responsible instance.
         instance: String,
     },
     /// The call may not run.
     Refuse(Refusal),
 }
 
-/// The keys that one process has seen.
+/// The idempotency keys that one process stores, and its knowledge of who is responsible
+/// for which key.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct KeyedCalls {
     config: KeyedConfig,
     pub(crate) history: ViewHistory,
+    /// When the newest read of the registrations was sent.
     viewed_at_ms: u64,
-    /// Set until the first view, in the first process of a fleet.
+    /// Whether this is the first process of the fleet. Cleared by the first view.
     is_founder: bool,
     pub(crate) keys: BTreeMap<KeyDigest, KeyState>,
-    /// Keys of calls that ended, oldest first.
+    /// Keys of calls that ended, with the time of the end, oldest first.
     pub(crate) ended: BTreeSet<(u64, KeyDigest)>,
     pub(crate) calls: BTreeMap<RequestId, KeyDigest>,
-    /// Set once no call is admitted any more: the time and what was known then.
+    /// Set once no call is admitted any more: the time, and the views and claims at that
+    /// time.
     pub(crate) retired: Option<(u64, ViewHistory)>,
-    /// The parts that have arrived of each handover.
-    pub(crate) parts: BTreeMap<Incarnation, BTreeSet<u32>>,
+    /// The parts received so far of each incomplete handover, by the process that sent
+    /// it.
+    pub(crate) received_parts: BTreeMap<Incarnation, BTreeSet<u32>>,
 }
 
 impl KeyedCalls {
-    /// A process that has seen no registrations.
+    /// Creates the state of a process that has not read the registrations yet.
     pub fn new(config: KeyedConfig) -> KeyedCalls {
         KeyedCalls {
             history: ViewHistory::new(config.own.clone()),
@@ -80,19 +85,19 @@
             ended: BTreeSet::new(),
             calls: BTreeMap::new(),
             retired: None,
-            parts: BTreeMap::new(),
+            received_parts: BTreeMap::new(),
         }
     }
 
-    /// States that no process of the fleet ran before this one, so that no other can have
-    /// run a call. Has no effect once registrations were read.
+    /// Tells that no process of the fleet ran before this one, so that no other can have
+    /// run a call. Has no effect once the registrations were read.
     pub fn assume_founder(&mut self) {
         self.is_founder = self.history.views.is_empty();
     }
 
-    /// Takes note of the processes among which keys are divided, as read from the store by
-    /// a request that was **sent** at `sent_at_ms`, with the lease of the own registration.
-    /// Older readings are ignored.
+    /// Updates the processes among which keys are divided, as read from the store by a
+    /// request that was **sent** at `sent_at_ms`. `own_lease` is the lease of this
+    /// process's registration. A read that was sent before the newest one is ignored.
     pub fn registrations_read(
         &mut self,
         sent_at_ms: u64,
@@ -102,8 +107,8 @@
         if !self.history.views.is_empty() && sent_at_ms < self.viewed_at_ms {
             return;
         }
-        // After a gap as long as the window, another instance may have become responsible,
-        // run a call and left again unseen. It needs longer than the window for that.
+        // In a gap as long as the window, another instance may have become responsible,
+        // run a call and left again unnoticed. It needs longer than the window to do so.
         let gap_ms = sent_at_ms.saturating_sub(self.viewed_at_ms);
         if gap_ms >= self.config.late_repeat_window_ms {
             self.history.views.clear();
@@ -114,7 +119,7 @@
             Some(view) if view.processes == processes && view.own_lease == own_lease => {
                 view.last_read_ms = sent_at_ms;
             }
-            _ => self.history.views.push_back(View {
+            _ => self.history.views.push_back(RegistrationView {
                 since_ms: sent_at_ms,
                 last_read_ms: sent_at_ms,
                 is_first_ever: std::mem::take(&mut self.is_founder),
@@ -122,21 +127,23 @@
                 processes,
             }),
         }
-        self.forget_views(sent_at_ms);
+        self.forget_old_views(sent_at_ms);
     }
 
-    fn forget_views(&mut self, now_ms: u64) {
-        let settling_ms = self.limits().settling_ms;
-        let horizon_ms = now_ms.saturating_sub(settling_ms);
+    fn forget_old_views(&mut self, now_ms: u64) {
+        let coverage_ms = self.limits().coverage_ms;
+        let horizon_ms = now_ms.saturating_sub(coverage_ms);
         let views = &mut self.history.views;
         while views.get(1).is_some_and(|view| view.since_ms <= horizon_ms) {
             views.pop_front();
         }
-        let is_recent = |one: &Inherited| one.received_ms + settling_ms >= now_ms;
+        let is_recent =
+            |claim: &InheritedClaim| claim.received_ms + coverage_ms >= now_ms;
         self.history.inherited.retain(is_recent);
     }
 
-    /// Asks whether a call may run here. A call that was forwarded is not forwarded again.
+    /// Decides whether a call may run here. A call that was forwarded here is not
+    /// forwarded again.
     pub fn admit(
         &mut self,
         now_ms: u64,
@@ -145,7 +152,7 @@
         key: &str,
         was_forwarded: bool,
     ) -> KeyedAdmission {
-        self.forget(now_ms);
+        self.forget_expired_keys(now_ms);
         let digest = match KeyDigest::of(customer, key) {
             Ok(digest) => digest,
             Err(refusal) => return KeyedAdmission::Refuse(refusal),
@@ -163,7 +170,7 @@
         }
     }
 
-    /// Takes note of the end of a call that was admitted, whether it ran or not.
+    /// Records the end of an admitted call, whether it ran or not.
     pub fn finish(&mut self, now_ms: u64, request_id: RequestId, ran: Ran) {
         let Some(digest) = self.calls.remove(&request_id) else {
             return;
@@ -179,6 +186,7 @@
         }
     }
 
+    /// Decides about a key that is not stored here.
     fn check(
         &self,
         now_ms: u64,
@@ -191,13 +199,15 @@
         let responsible = view.and_then(|view| view.responsible(digest));
         let own = &self.config.own.instance;
         match responsible.map(|process| &process.instance) {
-            None => KeyedAdmission::Refuse(not_run("the view of the fleet is too old")),
+            None => {
+                KeyedAdmission::Refuse(not_run("the known registrations are out of date"))
+            }
             Some(name) if name == own && self.retired.is_some() => {
-                KeyedAdmission::Refuse(not_run("this instance stops"))
+                KeyedAdmission::Refuse(not_run("this instance is stopping"))
             }
             Some(name) if name == own => self.check_own(now_ms, digest),
             Some(_) if was_forwarded => {
-                KeyedAdmission::Refuse(not_run("another instance is responsible"))
+                KeyedAdmission::Refuse(not_run("another instance handles this key"))
             }
             Some(name) => KeyedAdmission::Forward {
                 instance: name.clone(),
@@ -206,7 +216,7 @@
     }
 
     fn check_own(&self, now_ms: u64, digest: KeyDigest) -> KeyedAdmission {
-        if !self.history.is_settled(now_ms, digest, self.limits()) {
+        if !self.history.knows_all_runs(now_ms, digest, self.limits()) {
             return KeyedAdmission::Refuse(Refusal {
                 reason: RefusalReason::OwnerUnavailable,
                 ran: Ran::Unknown,
@@ -217,7 +227,7 @@
         match self.keys.len() >= MAX_KEYS {
             true => KeyedAdmission::Refuse(Refusal::not_run(
                 RefusalReason::Overloaded,
-                "too many idempotency keys are remembered",
+                "too many idempotency keys are stored",
             )),
             false => KeyedAdmission::Run,
         }
@@ -226,17 +236,22 @@
     fn limits(&self) -> KeyedLimits {
         let config = &self.config;
         KeyedLimits {
-            settling_ms: config.late_repeat_window_ms
+            coverage_ms: config.late_repeat_window_ms
                 + config.registration_freshness_ms
                 + config.dispatch_deadline_ms,
             freshness_ms: config.registration_freshness_ms,
         }
     }
 
-    pub(crate) fn forget(&mut self, now_ms: u64) {
+    pub(crate) fn forget_expired_keys(&mut self, now_ms: u64) {
         let window_ms = self.config.late_repeat_window_ms;
-        let is_over = |ended_at_ms: u64| now_ms.saturating_sub(ended_at_ms) > window_ms;
-        while self.ended.first().is_some_and(|one| is_over(one.0)) {
+        let is_expired =
+            |ended_at_ms: u64| now_ms.saturating_sub(ended_at_ms) > window_ms;
+        while self
+            .ended
+            .first()
+            .is_some_and(|(ended_at_ms, _)| is_expired(*ended_at_ms))
+        {
             let first = self.ended.pop_first();
             first.map(|(_, digest)| self.keys.remove(&digest));
         }
@@ -244,5 +259,6 @@
 }
 
 fn not_run(message: &str) -> Refusal {
-    Refusal::not_run(RefusalReason::OwnerUnavailable, message).retry_after_ms(RETRY_MS)
+    Refusal::not_run(RefusalReason::OwnerUnavailable, message)
+        .retry_after_ms(RETRY_AFTER_MS)
 }
--- a/crates/programs/src/keyed_handover.rs
+++ b/crates/programs/src/keyed_handover.rs
@@ -1,10 +1,11 @@
-//! Handing idempotency keys without a program to the next responsible processes.
+//! Transfers the idempotency keys of calls without a program when a process stops.
 //!
-//! A process that stops admits no more calls with a key, waits for those that run, and then
-//! sends each successor the keys that it gets, with a claim: what the process knew of the
-//! responsibility when it ceased to admit calls. The claim names the successors once and
-//! for all, so that each key has at most one. A successor that has all parts, and that took
-//! the responsibility over from this process directly, knows what this process knew.
+//! A stopping process admits no more calls with a key and waits for the running ones. It
+//! then sends each successor the keys for which that is now responsible, together with a
+//! claim: the views and inherited claims that it had when it stopped admitting calls. The
+//! claim fixes the successors, so that each key has at most one. A successor that has
+//! received all parts, and that became responsible directly after this process, knows
+//! everything that this process knew about the runs of a key.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -14,47 +15,50 @@
 
 use crate::idempotency::{KeyDigest, KeyState};
 use crate::keyed::{KeyedCalls, MAX_KEYS};
-use crate::keyed_views::{Inherited, KeyedLimits, ViewHistory, responsible};
+use crate::keyed_views::{InheritedClaim, KeyedLimits, ViewHistory, responsible};
 
-/// Most entries of views in a claim. Keeps a claim under 2 MB, a quarter of the largest
-/// message. In larger fleets the keys are sent without a claim that counts.
+/// Largest number of view entries in a claim. Keeps a claim below 2 MB, a quarter of the
+/// largest message. In larger fleets the keys are sent with a claim that has no views and
+/// so covers no key.
 const MAX_VIEW_ENTRIES: usize = 20_000;
 
-/// What a stopped process knew of the responsibility for keys.
+/// What a stopped process knew about the responsibility for keys.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyedClaim {
-    /// When it admitted its last call at the latest, by its own clock.
+    /// When it stopped admitting calls, by its own clock.
     pub(crate) at_ms: u64,
-    /// Its views and what it had received, at that time.
+    /// Its views and inherited claims at that time.
     pub(crate) history: ViewHistory,
-    /// The only processes that may use the claim, by name.
+    /// The only processes that may use the claim, by instance name.
     pub(crate) successors: BTreeMap<String, Incarnation>,
 }
 
 impl KeyedClaim {
-    /// The process that stopped.
+    /// The stopped process that made the claim.
     pub fn of(&self) -> &Incarnation {
         &self.history.own
     }
 
-    /// Whether the stopped process knew all runs of the key and left it to `successor`.
+    /// Whether the stopped process knew about all runs of the key and handed it to
+    /// `successor`.
     pub(crate) fn covers(
         &self,
         digest: KeyDigest,
         successor: &Incarnation,
         limits: KeyedLimits,
     ) -> bool {
-        let chosen = responsible(self.successors.keys(), digest);
-        let chosen = chosen.and_then(|name| self.successors.get(name));
+        let expected = responsible(self.successors.keys(), digest);
+        let expected = expected.and_then(|name| self.successors.get(name));
         let last_read_ms = self.history.views.back().map(|view| view.last_read_ms);
         let is_fresh = last_read_ms
             .is_some_and(|ms| self.at_ms.saturating_sub(ms) <= limits.freshness_ms);
-        chosen == Some(successor)
+        expected == Some(successor)
             && is_fresh
-            && self.history.is_settled(self.at_ms, digest, limits)
+            && self.history.knows_all_runs(self.at_ms, digest, limits)
     }
 
+    /// Number of process entries in the claim, those of inherited claims included.
     fn view_entries(&self) -> usize {
         let own: usize = self
             .history
@@ -64,10 +68,13 @@
             .sum();
         let inherited = self.history.inherited.iter();
         own + self.successors.len()
-            + inherited.map(|one| one.claim.view_entries()).sum::<usize>()
+            + inherited
+                .map(|inherited| inherited.claim.view_entries())
+                .sum::<usize>()
     }
 
-    /// Drops what does not fit into a message. Without views the claim covers no key.
+    /// Drops history that does not fit into a message. Without views the claim covers no
+    /// key.
     fn bounded(mut self) -> KeyedClaim {
         if self.view_entries() > MAX_VIEW_ENTRIES {
             self.history.inherited.clear();
@@ -79,25 +86,25 @@
     }
 }
 
-/// A key as handed over.
+/// An idempotency key in a handover.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyRecord {
-    /// The key.
+    /// The digest of the key.
     pub digest: KeyDigest,
-    /// What is known of its call.
+    /// The outcome of its call.
     pub state: KeyState,
-    /// Time since the call ended.
+    /// Time since the call ended, at the time of the export.
     pub age_ms: u64,
 }
 
-/// One message of a handover.
+/// One message of a handover to one successor.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyedHandover {
-    /// The same in all parts.
+    /// The claim, the same in all parts.
     pub claim: KeyedClaim,
-    /// Number of this part, from 0.
+    /// Index of this part, from 0.
     pub part: u32,
     /// Number of parts for this successor.
     pub parts: u32,
@@ -106,23 +113,23 @@
 }
 
 impl KeyedCalls {
-    /// Admits no call any more, so that the keys can be handed over.
+    /// Stops admitting calls, so that the keys can be handed over.
     pub fn retire(&mut self, now_ms: u64) {
         if self.retired.is_none() {
             self.retired = Some((now_ms, self.history.clone()));
         }
     }
 
-    /// The keys of a retired process, divided among `successors` in messages of at most
-    /// `max_keys` keys. `None` while a call runs. Each key may have only one successor, so
-    /// this must be asked for once.
+    /// Divides the keys of a retired process among `successors`, in messages of at most
+    /// `max_keys` keys. Returns `None` while a call runs, or if the process was not
+    /// retired. Each key may have only one successor, so call this once.
     pub fn export(
         &mut self,
         now_ms: u64,
         successors: BTreeMap<String, Incarnation>,
         max_keys: usize,
     ) -> Option<Vec<(Incarnation, KeyedHandover)>> {
-        self.forget(now_ms);
+        self.forget_expired_keys(now_ms);
         let (at_ms, history) = self.retired.clone()?;
         if !self.calls.is_empty() {
             return None;
@@ -140,14 +147,14 @@
             history,
             successors,
         };
-        Some(split(claim, keys, max_keys))
+        Some(split_by_successor(claim, keys, max_keys))
     }
 
-    /// Takes over the keys of a part. Its claim counts once all parts have arrived here.
+    /// Stores the keys of one part. The claim takes effect once all parts have arrived.
     pub fn import(&mut self, now_ms: u64, handover: KeyedHandover) {
-        let of = handover.claim.of().clone();
+        let stopped = handover.claim.of().clone();
         let mut inherited = self.history.inherited.iter();
-        if inherited.any(|one| one.claim.of() == &of) {
+        if inherited.any(|inherited| inherited.claim.of() == &stopped) {
             return;
         }
         if self.keys.len() + handover.keys.len() > MAX_KEYS {
@@ -160,11 +167,11 @@
                 self.ended.insert((ended_ms, key.digest));
             }
         }
-        let parts = self.parts.entry(of.clone()).or_default();
+        let parts = self.received_parts.entry(stopped.clone()).or_default();
         parts.insert(handover.part);
         if parts.len() >= handover.parts as usize {
-            self.parts.remove(&of);
-            self.history.inherited.push(Inherited {
+            self.received_parts.remove(&stopped);
+            self.history.inherited.push(InheritedClaim {
                 received_ms: now_ms,
                 claim: handover.claim,
             });
@@ -172,9 +179,9 @@
     }
 }
 
-/// Splits keys into the messages for each successor, at most `max_keys` in each. A
-/// successor without keys gets one part with the claim.
-fn split(
+/// Splits keys into messages for each successor, with at most `max_keys` keys each. A
+/// successor without keys gets one part that only holds the claim.
+fn split_by_successor(
     claim: KeyedClaim,
     keys: Vec<KeyRecord>,
     max_keys: usize,
--- a/crates/programs/src/keyed_views.rs
+++ b/crates/programs/src/keyed_views.rs
@@ -1,4 +1,5 @@
-//! What one process knows of the responsibility for idempotency keys.
+//! The history of which process was responsible for which idempotency key, as one process
+//! knows it.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,32 +9,34 @@
 use crate::idempotency::KeyDigest;
 use crate::keyed_handover::KeyedClaim;
 
-/// Times that decide whether a process knows all runs of a key.
+/// Times that decide whether a process knows about all runs of a key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct KeyedLimits {
-    /// Responsibility for longer than this covers the whole window.
-    pub(crate) settling_ms: u64,
-    /// Largest age of a view with which a call may be admitted.
+    /// A process that was responsible for longer than this knows about all runs within
+    /// the late repeat window.
+    pub(crate) coverage_ms: u64,
+    /// Largest age of a view by which a call may be admitted.
     pub(crate) freshness_ms: u64,
 }
 
-/// The processes among which keys were divided from a time on.
+/// The registered processes, among which keys were divided, over a period of time.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub(crate) struct View {
-    /// When the first read that showed these processes was sent.
+pub(crate) struct RegistrationView {
+    /// When the first read that returned these processes was sent.
     pub(crate) since_ms: u64,
-    /// When the last such read was sent.
+    /// When the last read that returned these processes was sent.
     pub(crate) last_read_ms: u64,
-    /// No process of the fleet existed before this view.
+    /// Whether no process of the fleet existed before this view.
     pub(crate) is_first_ever: bool,
-    /// The lease of the own registration. It changes when the registration had ended.
+    /// The lease of this process's registration. A new lease means that the registration
+    /// had ended in between.
     pub(crate) own_lease: Option<i64>,
-    /// The processes by the names of their instances.
+    /// The processes by instance name.
     pub(crate) processes: BTreeMap<String, Incarnation>,
 }
 
-impl View {
+impl RegistrationView {
     /// The process responsible for a key.
     pub(crate) fn responsible(&self, digest: KeyDigest) -> Option<&Incarnation> {
         let name = responsible(self.processes.keys(), digest)?;
@@ -41,28 +44,28 @@
     }
 }
 
-/// A claim of a stopped process that arrived whole.
+/// A claim of a stopped process, all parts of which have arrived.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub(crate) struct Inherited {
+pub(crate) struct InheritedClaim {
     /// When the last part arrived.
     pub(crate) received_ms: u64,
     pub(crate) claim: KeyedClaim,
 }
 
-/// The views of one process and the claims that it received. All times are of its own
-/// clock and are compared only with each other.
+/// The views of one process and the claims that it received. All times come from its own
+/// clock and are only compared with each other.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ViewHistory {
     pub(crate) own: Incarnation,
-    /// Oldest first. A view holds until the next one begins.
-    pub(crate) views: VecDeque<View>,
-    pub(crate) inherited: Vec<Inherited>,
+    /// Oldest first. Each view is valid until the next one begins.
+    pub(crate) views: VecDeque<RegistrationView>,
+    pub(crate) inherited: Vec<InheritedClaim>,
 }
 
 impl ViewHistory {
-    /// A process that has seen no registrations.
+    /// Creates the history of a process that has not read the registrations yet.
     pub(crate) fn new(own: Incarnation) -> ViewHistory {
         ViewHistory {
             own,
@@ -71,9 +74,10 @@
         }
     }
 
-    /// Whether this process knows all runs of a key within the window, by its own time as
-    /// responsible process or by the claim of the process that was responsible before it.
-    pub(crate) fn is_settled(
+    /// Whether this process knows about all runs of a key within the late repeat window:
+    /// because it was responsible for long enough itself, or through the claim of the
+    /// process that was responsible before it.
+    pub(crate) fn knows_all_runs(
         &self,
         now_ms: u64,
         digest: KeyDigest,
@@ -87,22 +91,25 @@
         let Some(first) = self.views.get(first_index) else {
             return false;
         };
-        // Equal is too early: the other process may have run the call at the very end.
+        // Must be strictly longer: the other process may have run a call in the last
+        // millisecond.
         let held_ms = now_ms.saturating_sub(first.since_ms);
         let before = first_index
             .checked_sub(1)
             .and_then(|index| self.views.get(index));
         first.is_first_ever
-            || held_ms > limits.settling_ms
-            || before.is_some_and(|before| self.inherits(before, first, digest, limits))
+            || held_ms > limits.coverage_ms
+            || before
+                .is_some_and(|before| self.is_inherited(before, first, digest, limits))
     }
 
-    /// Whether the process that was responsible in `before` has handed this key over. A
-    /// gap between the two views could hide a third process that was responsible.
-    fn inherits(
+    /// Whether the process that was responsible in `before` has handed this key over.
+    /// Requires that there was no gap between the two views, in which a third process
+    /// could have been responsible.
+    fn is_inherited(
         &self,
-        before: &View,
-        first: &View,
+        before: &RegistrationView,
+        first: &RegistrationView,
         digest: KeyDigest,
         limits: KeyedLimits,
     ) -> bool {
@@ -117,10 +124,10 @@
             })
     }
 
-    /// Whether this process was responsible in a view, by the registration that it has now.
-    /// While it was not registered another process may have begun to count its own time, and
-    /// may never see that this one came back.
-    fn is_own(&self, view: &View, digest: KeyDigest) -> bool {
+    /// Whether this process was responsible in a view under its current registration.
+    /// While it was not registered, another process may have started to count its own
+    /// time as responsible, and may never learn that this one came back.
+    fn is_own(&self, view: &RegistrationView, digest: KeyDigest) -> bool {
         let responsible = view.responsible(digest);
         let own_lease = self.views.back().and_then(|newest| newest.own_lease);
         view.own_lease == own_lease
@@ -128,7 +135,8 @@
     }
 }
 
-/// The instance responsible for a key: the one with the highest hash of name and key.
+/// The instance responsible for a key, by rendezvous hashing: the one with the highest
+/// hash of name and key.
 pub fn responsible<'a>(
     instances: impl IntoIterator<Item = &'a String>,
     key: KeyDigest,
--- a/crates/programs/src/lib.rs
+++ b/crates/programs/src/lib.rs
@@ -1,22 +1,33 @@
-//! Programs of one incarnation: tokens, ownership, order, budget and idempotency.
+//! The state of agent programs: tokens, ownership, call order, budgets and idempotency
+//! keys.
 //!
-//! Pure: every transition is passed `now_ms`, the milliseconds of the instance's
-//! monotonic clock. Nothing here reads a clock, does I/O or logs.
+//! A program is a sequence of calls (turns) that an agent makes under one budget;
+//! sub-agents are child programs that draw on the budget of their root. An incarnation is
+//! one run of an instance's process. Each program is owned by the incarnation that opened
+//! it, until a successor takes it over.
 //!
-//! The way of a call with a program token:
+//! The crate does no I/O, logs nothing and reads no clock. Methods that depend on the
+//! time take `now_ms`, the milliseconds of the instance's monotonic clock. The `fleet`
+//! crate drives it.
 //!
-//! 1. [`ProgramToken::verify`] for the authenticated customer.
-//! 2. [`ownership::decide`] for the token's owner: serve, forward, claim or refuse. A claim is
-//!    a transaction that requires [`ownership::claim_requires_absent`]. Afterwards the shell
-//!    reads the takeover records, then the budget records of all
-//!    [`Takeovers::predecessors`], passes these to [`Programs::adopt`], and decides again.
-//! 3. [`Programs::resolve`] and [`Programs::admit`].
-//! 4. [`Programs::finish`] or [`Programs::fail`], each with a [`ProgramEffects`] that answers
-//!    other calls. [`Programs::fail`] also withdraws a call that waits.
-//! 5. From time to time [`Programs::next_budget_record`], whose record is written as described in
-//!    [`grants`], and [`Programs::expire`].
+//! How a call with a program token is handled:
 //!
-//! When an instance learns of a successor of its own it calls [`Programs::supersede`].
+//! 1. [`ProgramToken::verify`] checks the token for the authenticated customer.
+//! 2. [`ownership::decide`] says for the token's owner whether to serve, forward or
+//!    refuse the call, or to claim a takeover first. A claim is a store transaction that
+//!    requires the keys of [`ownership::claim_requires_absent`] to be absent. After it,
+//!    read the takeover records, then the budget records of all
+//!    [`Takeovers::predecessors`], pass these to [`Programs::adopt`], and call `decide`
+//!    again.
+//! 3. [`Programs::resolve`] finds the program and [`Programs::admit`] checks the call.
+//! 4. [`Programs::finish`] or [`Programs::fail`] ends the call. Both return
+//!    [`ProgramEffects`] with the answers for other calls that were waiting.
+//!    [`Programs::fail`] also withdraws a call that is still waiting.
+//! 5. At intervals, [`Programs::next_budget_record`] returns a record to write to the
+//!    store as described in [`grants`], and [`Programs::expire`] ends idle programs.
+//!
+//! An instance that learns that another incarnation has succeeded it calls
+//! [`Programs::supersede`].
 
 pub mod account;
 pub mod admission;
--- a/crates/programs/src/lifetime.rs
+++ b/crates/programs/src/lifetime.rs
@@ -1,4 +1,5 @@
-//! How programs end.
+//! Ends programs: on close, after their idle timeout, and on takeover by another
+//! instance.
 
 use jayreel_model::{Incarnation, Refusal, RefusalReason};
 
@@ -8,23 +9,23 @@
 use crate::programs::{Programs, ended, ended_refusal};
 
 impl Programs {
-    /// Stops serving after another incarnation was recorded as successor of this one.
-    /// Waiting calls are refused as not run; running calls end normally.
+    /// Stops serving because the store names another incarnation as the successor of this
+    /// one. Waiting calls are refused as not run; running calls may finish.
     pub fn supersede(&mut self) -> ProgramEffects {
         self.stopped = true;
         let refusal = Refusal::not_run(
             RefusalReason::OwnerUnavailable,
-            "another instance took over the program",
+            "another instance has taken over the program",
         );
-        let mut transition = ProgramEffects::default();
+        let mut effects = ProgramEffects::default();
         let ids: Vec<ProgramId> = self.programs.keys().copied().collect();
         for id in ids {
-            self.refuse_waiting(id, &refusal, &mut transition);
+            self.refuse_waiting(id, &refusal, &mut effects);
         }
-        transition
+        effects
     }
 
-    /// Marks a program and its ancestors as active.
+    /// Records activity of a program, its ancestors and their account.
     pub(crate) fn touch(&mut self, now_ms: u64, id: ProgramId) {
         let mut next = Some(id);
         while let Some(program) = next.and_then(|id| self.programs.get_mut(&id)) {
@@ -36,7 +37,7 @@
         }
     }
 
-    /// The program, then its descendants.
+    /// Returns the program followed by all its descendants.
     pub(crate) fn with_descendants(&self, id: ProgramId) -> Vec<ProgramId> {
         let mut found = vec![id];
         let members = self
@@ -44,7 +45,8 @@
             .get(&id)
             .and_then(|program| self.accounts.get(&program.token.root))
             .map(|entry| &entry.members);
-        // Ids grow, and a child is newer than its parent, so one pass finds all.
+        // Members are ordered by id, and a child has a larger id than its parent, so a
+        // single pass finds all descendants.
         for member in members.into_iter().flatten() {
             let parent = self.programs.get(member).and_then(|program| program.parent);
             if parent.is_some_and(|parent| found.contains(&parent)) {
@@ -54,20 +56,22 @@
         found
     }
 
+    /// Refuses the waiting calls of a program and ends it, or marks it as closing if a
+    /// call is still running.
     pub(crate) fn close_one(
         &mut self,
         now_ms: u64,
         id: ProgramId,
         reason: EndReason,
-        transition: &mut ProgramEffects,
+        effects: &mut ProgramEffects,
     ) {
-        self.refuse_waiting(id, &ended_refusal(), transition);
+        self.refuse_waiting(id, &ended_refusal(), effects);
         let Some(program) = self.programs.get_mut(&id) else {
             return;
         };
         match program.running {
             Some(_) => program.closing = true,
-            None => self.end(now_ms, id, reason, transition),
+            None => self.end(now_ms, id, reason, effects),
         }
     }
 
@@ -75,7 +79,7 @@
         &mut self,
         id: ProgramId,
         refusal: &Refusal,
-        transition: &mut ProgramEffects,
+        effects: &mut ProgramEffects,
     ) {
         let Some(program) = self.programs.get_mut(&id) else {
             return;
@@ -85,21 +89,21 @@
             if let Some(key) = call.key {
                 program.keys.remove(&key);
             }
-            self.calls.remove(&call.facts.request_id);
-            transition.resolved.push(DeferredAdmission {
-                request_id: call.facts.request_id,
+            self.calls.remove(&call.params.request_id);
+            effects.resolved.push(DeferredAdmission {
+                request_id: call.params.request_id,
                 admission: Admission::Refuse(refusal.clone()),
             });
         }
     }
 
-    /// Removes a program without calls.
+    /// Removes a program that has no running or waiting calls.
     pub(crate) fn end(
         &mut self,
         now_ms: u64,
         id: ProgramId,
         reason: EndReason,
-        transition: &mut ProgramEffects,
+        effects: &mut ProgramEffects,
     ) {
         let Some(program) = self.programs.remove(&id) else {
             return;
@@ -109,7 +113,7 @@
         if tag.owner != self.config.own {
             self.ended_adopted.insert(tag, now_ms);
         }
-        transition.ended.push(ended(id, &program, reason));
+        effects.ended.push(ended(id, &program, reason));
         let root = &program.token.root;
         let Some(entry) = self.accounts.get_mut(root) else {
             return;
@@ -122,7 +126,8 @@
         }
     }
 
-    /// Forgets what concerns programs of predecessors whose tokens have expired.
+    /// Drops the state of predecessors' programs that no valid token can refer to any
+    /// more.
     pub(crate) fn forget_adopted(&mut self, now_ms: u64) {
         let lifetime_ms = self.config.token_lifetime_s.saturating_mul(1_000);
         let is_kept = |since_ms: u64| now_ms.saturating_sub(since_ms) < lifetime_ms;
--- a/crates/programs/src/open.rs
+++ b/crates/programs/src/open.rs
@@ -7,44 +7,46 @@
 use crate::programs::{Programs, ended_refusal};
 use crate::token::{CacheTag, ProgramToken};
 
-/// Most sub-agents of one root program that are open at the same time.
-pub const MAX_MEMBERS: usize = 1_000;
+/// Most open programs that may draw on one budget: the root program and its sub-agents.
+pub const MAX_PROGRAMS_PER_ACCOUNT: usize = 1_000;
 
-/// A request for a new program.
+/// The parameters of [`Programs::open`].
 #[derive(Clone, Copy, Debug)]
 pub struct OpenRequest<'a> {
     /// Name of the authenticated customer.
     pub customer: &'a str,
-    /// Name of the profile.
+    /// Name of the profile, as stored in the token.
     pub profile_name: &'a str,
-    /// The profile.
+    /// The current profile of that name, which limits the budget and the turns.
     pub profile: &'a Profile,
-    /// Budget that the caller names, in tokens. Must be `None` for a sub-agent.
+    /// The budget that the caller asks for, in tokens. `None` uses the profile's budget.
+    /// Must be `None` for a sub-agent.
     pub budget_tokens: Option<u64>,
-    /// The program that opens a sub-agent, as given by [`Programs::resolve`].
+    /// The program that opens a sub-agent, from [`Programs::resolve`]. `None` for a root
+    /// program.
     pub parent: Option<ProgramId>,
-    /// Wall-clock seconds since the Unix epoch, for the validity of the token only.
+    /// Wall-clock time in seconds since the Unix epoch. Used only for the token's expiry.
     pub now_unix_s: u64,
 }
 
-/// A program that was opened.
+/// The result of [`Programs::open`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OpenedProgram {
-    /// The program.
+    /// The program's id in this process.
     pub program: ProgramId,
-    /// Its token, to be signed.
+    /// The program's token, not yet signed.
     pub token: ProgramToken,
 }
 
 impl Programs {
-    /// Opens a program, or a sub-agent that draws on the budget of its root.
+    /// Opens a root program, or a sub-agent that draws on the budget of its root program.
     ///
     /// # Errors
     ///
     /// `not_allowed` for a retired profile, a budget above that of the profile or a
-    /// parent of another customer; `invalid_request` for a budget of 0 or a budget of a
+    /// parent of another customer; `invalid_request` for a budget of 0 or a budget for a
     /// sub-agent; `not_found` if the parent has ended; `overloaded` if there are too many
-    /// programs; `not_ready` after a handover or takeover. Always `ran: no`.
+    /// programs; `not_ready` once another instance is taking over. Always `ran: no`.
     pub fn open(
         &mut self,
         now_ms: u64,
@@ -80,7 +82,7 @@
         if budget_tokens > limit_tokens {
             return Err(Refusal::not_run(
                 RefusalReason::NotAllowed,
-                format!("the profile allows a budget of {limit_tokens} tokens"),
+                format!("the profile limits the budget to {limit_tokens} tokens"),
             ));
         }
         let percent = self.config.first_tranche_percent;
@@ -108,7 +110,7 @@
         if request.budget_tokens.is_some() {
             return Err(Refusal::not_run(
                 RefusalReason::InvalidRequest,
-                "a sub-agent uses the budget of its root program",
+                "a sub-agent cannot have its own budget; it uses that of its root program",
             ));
         }
         let root = parent.token.root.clone();
@@ -116,10 +118,10 @@
             .accounts
             .get(&root)
             .map_or(0, |entry| entry.members.len());
-        if members >= MAX_MEMBERS {
+        if members >= MAX_PROGRAMS_PER_ACCOUNT {
             return Err(Refusal::not_run(
                 RefusalReason::Overloaded,
-                "the root program has too many sub-agents",
+                "the root program has too many open sub-agents",
             ));
         }
         let budget_tokens = parent.token.budget_tokens;
--- a/crates/programs/src/ownership.rs
+++ b/crates/programs/src/ownership.rs
@@ -1,64 +1,70 @@
-//! Which instance serves a program.
+//! Decides which instance serves a program, and when a crashed owner may be replaced.
+//!
+//! At first the owner of a program is the incarnation that opened it. When that stops or
+//! crashes, a takeover record in the store names one successor for all of its programs.
+//! Successors can be succeeded in turn.
 
 use std::collections::BTreeMap;
 
 use jayreel_model::{Incarnation, Refusal, RefusalReason};
 use serde::{Deserialize, Serialize};
 
-/// Time after which a caller may ask again while an owner is unreachable.
+/// Retry delay suggested to callers while the owner of a program is unreachable.
 const OWNER_RETRY_MS: u64 = 1_000;
 
-/// The store key that names the successor of an incarnation. Created once and never
-/// changed, in a transaction that requires [`claim_requires_absent`].
+/// The store key of an incarnation's [`TakeoverRecord`]. It is created once, in a
+/// transaction that requires [`claim_requires_absent`], and never changed.
 pub fn takeover_key(incarnation: &Incarnation) -> String {
     format!("takeovers/{incarnation}")
 }
 
-/// The store keys that must not exist when `own` creates the takeover record of `of`: that
-/// record itself, and the claimant's own. Without the second, two processes that lost
-/// contact could succeed each other, and nobody would serve their programs.
+/// The store keys that must not exist when `own` creates the takeover record of `of`:
+/// that record itself, and the takeover record of `own`. Without the second condition,
+/// two processes that lost contact could each become the other's successor, and neither
+/// would serve their programs.
 pub fn claim_requires_absent(of: &Incarnation, own: &Incarnation) -> [String; 2] {
     [takeover_key(of), takeover_key(own)]
 }
 
-/// The value under [`takeover_key`].
+/// Names the successor of an incarnation. Stored under [`takeover_key`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TakeoverRecord {
-    /// The one incarnation that is responsible for all programs of the other.
+    /// The incarnation that takes over all programs.
     pub successor: Incarnation,
-    /// Whether the other incarnation named its successor itself.
+    /// Whether the predecessor named the successor itself, on a planned stop.
     pub is_planned: bool,
 }
 
-/// The takeover records that an instance has read.
+/// The takeover records that an instance knows.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct Takeovers {
     successors: BTreeMap<Incarnation, Incarnation>,
 }
 
 impl Takeovers {
-    /// Takes note of a record. A record never changes, so the first one is kept.
+    /// Adds the takeover record of `of`. Records never change, so a second one is
+    /// ignored.
     pub fn learn(&mut self, of: Incarnation, record: &TakeoverRecord) {
         let successor = record.successor.clone();
         self.successors.entry(of).or_insert(successor);
     }
 
-    /// Forgets a record that was deleted from the store.
+    /// Removes a record that was deleted from the store.
     pub fn forget(&mut self, of: &Incarnation) {
         self.successors.remove(of);
     }
 
-    /// The direct successor of an incarnation.
+    /// The direct successor of an incarnation, if one is known.
     pub fn successor(&self, of: &Incarnation) -> Option<&Incarnation> {
         self.successors.get(of)
     }
 
-    /// The incarnation that is responsible for the programs of `owner`: the last one in
-    /// its line of successors.
+    /// The incarnation that serves the programs of `owner` now: the last in its chain of
+    /// successors, or `owner` itself.
     pub fn responsible<'a>(&'a self, owner: &'a Incarnation) -> &'a Incarnation {
         let mut last = owner;
-        // A line longer than the number of records would be a cycle.
+        // Bounds the loop if the records form a cycle.
         for _ in 0..self.successors.len() {
             match self.successors.get(last) {
                 Some(next) => last = next,
@@ -68,8 +74,9 @@
         last
     }
 
-    /// All incarnations that `successor` is responsible for, itself excluded. Their budget
-    /// records are to be adopted.
+    /// All incarnations whose programs `successor` serves, directly or through others,
+    /// without itself. Their budget records must be passed to
+    /// [`Programs::adopt`](crate::Programs::adopt).
     pub fn predecessors(&self, successor: &Incarnation) -> Vec<Incarnation> {
         self.successors
             .keys()
@@ -79,72 +86,77 @@
     }
 }
 
-/// What heartbeats say of an incarnation.
+/// The liveness of an incarnation according to its heartbeats.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum OwnerLiveness {
     /// Answers heartbeats.
     Alive,
-    /// Does not answer heartbeats, or another incarnation answers under its name.
+    /// Does not answer heartbeats, or another incarnation answers under its instance
+    /// name.
     Dead,
-    /// Answers heartbeats and announced a planned stop.
+    /// Answers heartbeats and has announced a planned stop.
     Leaving,
-    /// Missed some heartbeats.
+    /// Missed heartbeats recently, but not for long enough to count as dead.
     Suspect,
 }
 
-/// What an instance knows of the incarnation that owns a program.
+/// What this instance knows about the incarnation that owns a program.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct OwnerStatus {
-    /// Its liveness.
+    /// Its liveness according to heartbeats.
     pub liveness: OwnerLiveness,
-    /// For how long its registration has been absent beyond its lease, in milliseconds of
-    /// uninterrupted store contact of this instance. `None` if it is present or if there
-    /// is no store contact.
+    /// For how long its registration has been absent from the store, its lease having
+    /// ended, in milliseconds of uninterrupted contact of this instance with the store.
+    /// `None` if the registration is present or there is no contact.
     pub registration_absent_ms: Option<u64>,
 }
 
-/// Knowledge of other incarnations.
+/// Looks up the status of other incarnations.
 pub trait OwnerLookup {
-    /// What is known of an incarnation. One never heard of is `Dead`.
+    /// The status of an incarnation. An unknown one counts as `Dead`.
     fn owner(&self, incarnation: &Incarnation) -> OwnerStatus;
 }
 
-/// What an instance decides ownership by.
+/// The inputs of [`decide`].
 #[derive(Clone, Copy)]
 pub struct OwnershipView<'a> {
-    /// This process.
+    /// The incarnation of this process.
     pub own: &'a Incarnation,
     /// Known takeover records.
     pub takeovers: &'a Takeovers,
-    /// Knowledge of other incarnations.
+    /// Status of the other incarnations.
     pub owners: &'a dyn OwnerLookup,
-    /// Time for which a registration must be absent before a takeover.
+    /// Time for which an owner's registration must have been absent before a takeover.
     pub takeover_delay_ms: u64,
 }
 
-/// What to do with a call.
+/// What to do with a call of a program.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// Serve it here. [`Programs::admit`](crate::Programs::admit) applies the rule for
-    /// non-repeatable calls after a takeover.
+    /// Serve it here. [`Programs::admit`](crate::Programs::admit) checks whether a
+    /// non-repeatable call may run after a takeover.
     Serve,
-    /// Pass it to this instance. If it becomes unreachable before a byte was sent, the
-    /// call is refused as not run; after that, a non-repeatable call is `unknown`.
+    /// Forward it to another instance. If that becomes unreachable before a byte was
+    /// sent, the call is refused as not run; after that, the outcome of a non-repeatable
+    /// call is `unknown`.
     Forward {
-        /// The incarnation to forward to. Another one under the same name must refuse.
+        /// The incarnation to forward to. Another incarnation of the same instance must
+        /// refuse the call.
         to: Incarnation,
     },
-    /// Create the takeover record of this incarnation, read the records, and decide again.
+    /// Create the takeover record of the owner, read the takeover records, and decide
+    /// again.
     ClaimTakeover {
-        /// The incarnation that is gone.
+        /// The incarnation to take over from.
         of: Incarnation,
     },
-    /// Refuse it as not run.
+    /// Refuse the call as not run.
     Refuse(Refusal),
 }
 
-/// Decides where a call of a program opened by `owner` is served. A call that was forwarded
-/// here is not forwarded again, so instances with different views cannot form a loop.
+/// Decides where a call of a program opened by `owner` is served. A call that was
+/// forwarded here is never forwarded again, so that instances with different views cannot
+/// forward it in a loop.
 pub fn decide(
     view: OwnershipView<'_>,
     owner: &Incarnation,
@@ -154,14 +166,14 @@
     if responsible == view.own {
         return Decision::Serve;
     }
-    let fact = view.owners.owner(responsible);
-    match fact.liveness {
+    let status = view.owners.owner(responsible);
+    match status.liveness {
         _ if was_forwarded => Decision::Refuse(not_responsible()),
         OwnerLiveness::Alive | OwnerLiveness::Leaving => Decision::Forward {
             to: responsible.clone(),
         },
         OwnerLiveness::Dead
-            if may_claim(fact, view.takeover_delay_ms)
+            if may_claim(status, view.takeover_delay_ms)
                 && view.takeovers.successor(view.own).is_none() =>
         {
             Decision::ClaimTakeover {
@@ -172,16 +184,17 @@
     }
 }
 
-/// Whether a takeover may be claimed by compare-and-swap.
-pub fn may_claim(fact: OwnerStatus, takeover_delay_ms: u64) -> bool {
-    let absent_ms = fact.registration_absent_ms;
-    fact.liveness == OwnerLiveness::Dead
+/// Whether an owner has been gone for long enough to be taken over.
+pub fn may_claim(status: OwnerStatus, takeover_delay_ms: u64) -> bool {
+    let absent_ms = status.registration_absent_ms;
+    status.liveness == OwnerLiveness::Dead
         && absent_ms.is_some_and(|absent_ms| absent_ms >= takeover_delay_ms)
 }
 
-/// The refusal while the owner of a program is unreachable and not yet replaced.
+/// The refusal of calls while the owner of their program is unreachable and not yet
+/// replaced.
 pub fn unreachable() -> Refusal {
-    let message = "the owner of the program cannot be reached";
+    let message = "the instance that owns the program cannot be reached";
     Refusal::not_run(RefusalReason::OwnerUnavailable, message)
         .retry_after_ms(OWNER_RETRY_MS)
 }
--- a/crates/programs/src/program.rs
+++ b/crates/programs/src/program.rs
@@ -1,4 +1,4 @@
-//! One program.
+//! The state of a single program and its calls.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,11 +8,11 @@
 use crate::idempotency::{KeyDigest, KeyState};
 use crate::token::{CacheTag, ProgramToken};
 
-/// A program that this process knows. Never reused within a process.
+/// Identifies a program within this process. Ids are never reused within a process.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ProgramId(pub u64);
 
-/// A call that was told to run.
+/// A call that was admitted and has not ended.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct RunningCall {
     pub(crate) request_id: RequestId,
@@ -21,35 +21,39 @@
     pub(crate) turn: u32,
 }
 
-/// A call that waits for an earlier one or for a grant.
+/// A call in a program's queue, waiting for an earlier call or for a budget grant.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct WaitingCall {
-    pub(crate) facts: CallParams,
+    pub(crate) params: CallParams,
     pub(crate) key: Option<KeyDigest>,
 }
 
-/// The state of one program.
+/// The state of one program. At most one of its calls runs at a time.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct Program {
     pub(crate) token: ProgramToken,
     pub(crate) parent: Option<ProgramId>,
     pub(crate) max_turns: u32,
     pub(crate) idle_timeout_ms: u64,
-    /// Incarnations whose calls are all known here. A non-repeatable call runs only if
-    /// the incarnation that it names is one of them.
+    /// Incarnations all of whose calls to this program are known here. A non-repeatable
+    /// call runs only if the incarnation that it names is one of them, because otherwise
+    /// it may already have run there.
     pub(crate) known_epochs: BTreeSet<Incarnation>,
-    /// `None` after a takeover, until a call names its turn.
+    /// Turn of the next call to run. `None` after a takeover without a handover, until
+    /// the first call runs here and sets it.
     pub(crate) next_turn: Option<u32>,
     pub(crate) keys: BTreeMap<KeyDigest, KeyState>,
     pub(crate) running: Option<RunningCall>,
-    /// Not empty only while a call runs or `needs_grant` is set.
+    /// Calls in arrival order. Empty unless a call runs or `needs_grant` is set.
     pub(crate) waiting: VecDeque<WaitingCall>,
-    /// The first waiting call waits for a grant.
+    /// Whether the first waiting call needs a larger budget grant.
     pub(crate) needs_grant: bool,
     pub(crate) last_activity_ms: u64,
-    /// Ends when the running call ends.
+    /// Set when the program was closed while a call was running. The program ends with
+    /// that call.
     pub(crate) closing: bool,
-    /// The release of the cache was reported when the budget ended.
+    /// Whether the budget's exhaustion, and so the release of the cache, was already
+    /// reported.
     pub(crate) exhausted: bool,
 }
 
@@ -77,7 +81,7 @@
         }
     }
 
-    /// Takes the limits of the profile, which may have changed since the last call.
+    /// Copies the limits of the profile, which may have changed since the last call.
     pub(crate) fn apply_profile(&mut self, profile: &Profile) {
         self.max_turns = profile.max_turns;
         self.idle_timeout_ms = profile.idle_timeout_ms;
@@ -87,7 +91,8 @@
         self.token.cache_tag()
     }
 
-    /// The turn that the next arriving call gets.
+    /// The turn of the next call to arrive, after those already waiting. `None` if
+    /// unknown.
     pub(crate) fn expected_turn(&self) -> Option<u32> {
         let waiting = u32::try_from(self.waiting.len()).unwrap_or(u32::MAX);
         self.next_turn.map(|turn| turn.saturating_add(waiting))
@@ -97,7 +102,7 @@
         self.running.is_some() || !self.waiting.is_empty()
     }
 
-    /// Removes the first waiting call and its idempotency key.
+    /// Removes the first waiting call and frees its idempotency key.
     pub(crate) fn drop_first(&mut self) -> Option<WaitingCall> {
         self.needs_grant = false;
         let call = self.waiting.pop_front()?;
--- a/crates/programs/src/programs.rs
+++ b/crates/programs/src/programs.rs
@@ -1,4 +1,4 @@
-//! All programs of one incarnation.
+//! The table of programs that one incarnation serves.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,16 +13,16 @@
 /// Settings of [`Programs`].
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct ProgramsConfig {
-    /// This process.
+    /// The incarnation of this process.
     pub own: Incarnation,
-    /// Part of the budget that needs no record in the store.
+    /// Percentage of a budget that may be spent before a grant is recorded in the store.
     pub first_tranche_percent: u8,
-    /// Validity of a program token. Also how long spending for programs of predecessors
-    /// is remembered.
+    /// Validity of a program token, in seconds. Spending of programs taken over from
+    /// predecessors is also remembered for this long.
     pub token_lifetime_s: u64,
 }
 
-/// The budget of a root program and the programs that draw on it.
+/// The budget account of a root program and the programs that draw on it.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct AccountEntry {
     pub(crate) account: Account,
@@ -30,32 +30,35 @@
     pub(crate) last_activity_ms: u64,
 }
 
-/// All programs of one incarnation, with those taken over from others.
+/// The programs that this incarnation opened or took over from predecessors.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Programs {
     pub(crate) config: ProgramsConfig,
     pub(crate) programs: BTreeMap<ProgramId, Program>,
     pub(crate) by_tag: BTreeMap<CacheTag, ProgramId>,
     pub(crate) calls: BTreeMap<RequestId, ProgramId>,
-    /// By root. Own accounts are dropped with their last member; those of predecessors
-    /// stay until no token for them can be valid.
+    /// Budget accounts by the tag of their root program. If this incarnation opened the
+    /// root, the account is dropped with its last member. Otherwise it stays until no
+    /// token for it can be valid.
     pub(crate) accounts: BTreeMap<CacheTag, AccountEntry>,
-    /// Programs of predecessors that ended here, with the time. They must not return
-    /// without their idempotency keys.
+    /// Programs of predecessors that ended here, with the time of their end. They must
+    /// not be adopted again, because their idempotency keys are gone.
     pub(crate) ended_adopted: BTreeMap<CacheTag, u64>,
-    /// Grants of the incarnations that this one succeeds. `None`: none were recorded.
+    /// The last budget records of the incarnations that this one succeeds. `None` if an
+    /// incarnation wrote none.
     pub(crate) predecessors: BTreeMap<Incarnation, Option<BudgetRecord>>,
     pub(crate) next_program: u64,
     pub(crate) next_sequence: u64,
-    /// Upper bound of the encoded size of the next [`BudgetRecord`].
+    /// Upper bound of the encoded size of the next [`BudgetRecord`], in bytes.
     pub(crate) record_bytes: usize,
     pub(crate) grant_write_pending: bool,
-    /// Set when another incarnation is responsible for all programs.
+    /// Set once the programs were exported or a successor was recorded. No call is
+    /// admitted any more.
     pub(crate) stopped: bool,
 }
 
 impl Programs {
-    /// A process without programs.
+    /// Creates an empty table.
     pub fn new(config: ProgramsConfig) -> Programs {
         Programs {
             config,
@@ -73,14 +76,14 @@
         }
     }
 
-    /// Finds the program of a verified token and applies the current profile. A program of
-    /// a predecessor is taken over on its first call.
+    /// Finds the program of a verified token and applies the current profile. A program
+    /// of a predecessor is adopted on its first call here.
     ///
     /// # Errors
     ///
     /// `not_found` if the program has ended; `owner_unavailable` if it belongs to an
     /// incarnation that this one does not succeed; `overloaded` if there are too many
-    /// programs; `not_ready` after a handover or takeover. Always `ran: no`.
+    /// programs; `not_ready` once another instance is taking over. Always `ran: no`.
     pub fn resolve(
         &mut self,
         now_ms: u64,
@@ -98,18 +101,19 @@
         Ok(id)
     }
 
-    /// Closes a program and its sub-agents. Waiting calls are refused; a running call ends
-    /// first, and its program is reported as ended by that transition.
+    /// Closes a program and its sub-agents. Waiting calls are refused. A program with a
+    /// running call ends with that call, and is reported in the effects of
+    /// [`Programs::finish`] or [`Programs::fail`].
     pub fn close(&mut self, now_ms: u64, program: ProgramId) -> ProgramEffects {
-        let mut transition = ProgramEffects::default();
+        let mut effects = ProgramEffects::default();
         for id in self.with_descendants(program) {
-            self.close_one(now_ms, id, EndReason::Closed, &mut transition);
+            self.close_one(now_ms, id, EndReason::Closed, &mut effects);
         }
-        transition
+        effects
     }
 
-    /// Ends programs without a call for their idle time. A program with an active
-    /// sub-agent is not idle.
+    /// Ends programs that had no call for their idle timeout. Calls of sub-agents count
+    /// as activity of their ancestors.
     pub fn expire(&mut self, now_ms: u64) -> ProgramEffects {
         let idle: Vec<ProgramId> = self
             .programs
@@ -117,12 +121,12 @@
             .filter(|(_, program)| program.is_idle(now_ms))
             .map(|(id, _)| *id)
             .collect();
-        let mut transition = ProgramEffects::default();
+        let mut effects = ProgramEffects::default();
         for id in idle {
-            self.end(now_ms, id, EndReason::Idle, &mut transition);
+            self.end(now_ms, id, EndReason::Idle, &mut effects);
         }
         self.forget_adopted(now_ms);
-        transition
+        effects
     }
 
     /// The token of a live program.
@@ -130,26 +134,28 @@
         self.programs.get(&program).map(|program| &program.token)
     }
 
-    /// The turn that the next call of a program gets, for `Jayreel-Turn`.
+    /// The turn of the next call of a program, as sent in the `Jayreel-Turn` header.
+    /// `None` if the program has ended or its turn is unknown after a takeover.
     pub fn next_turn(&self, program: ProgramId) -> Option<u32> {
         self.programs.get(&program).and_then(Program::expected_turn)
     }
 
-    /// Service that the root program and all its sub-agents received, in thousandths of a
-    /// prompt token. 0 for a program that has ended.
+    /// Service that the root program and all its sub-agents have received, in thousandths
+    /// of a prompt token (see [`crate::Usage::service_mtokens`]). 0 for a program that
+    /// has ended.
     pub fn attained_service_mtokens(&self, program: ProgramId) -> u64 {
         self.account_of(program)
             .map_or(0, |entry| entry.account.service_mtokens)
     }
 
-    /// The account that a program draws on.
+    /// The budget account that a program draws on. `None` if the program has ended.
     pub fn account(&self, program: ProgramId) -> Option<&Account> {
         self.account_of(program).map(|entry| &entry.account)
     }
 
-    /// Whether a program with this cache tag is live here. After a takeover a program counts
-    /// from its first call here on, so the cache of one that pauses meanwhile may be released
-    /// and computed again.
+    /// Whether a program with this cache tag is live here. After a takeover without a
+    /// handover, a program counts as live only from its first call here, so the cache of
+    /// a program that pauses in between may be released and has to be recomputed.
     pub fn owns_cache_tag(&self, tag: &CacheTag) -> bool {
         self.by_tag.contains_key(tag)
     }
@@ -168,7 +174,7 @@
         match self.stopped {
             true => Err(Refusal::not_run(
                 RefusalReason::NotReady,
-                "another instance is responsible for the programs of this one",
+                "this instance no longer serves its programs; another one takes them over",
             )),
             false => Ok(()),
         }
@@ -179,7 +185,8 @@
         self.accounts.get(&program.token.root)
     }
 
-    /// Adds the account of the token's root unless it exists.
+    /// Adds the account of the token's root program unless it exists. Refuses it if the
+    /// budget record could then exceed [`MAX_RECORD_BYTES`].
     pub(crate) fn add_account(
         &mut self,
         now_ms: u64,
@@ -193,7 +200,7 @@
         if self.record_bytes + bytes > MAX_RECORD_BYTES {
             return Err(Refusal::not_run(
                 RefusalReason::Overloaded,
-                "the instance holds too many programs",
+                "this instance has too many open programs",
             ));
         }
         self.record_bytes += bytes;
--- a/crates/programs/src/token.rs
+++ b/crates/programs/src/token.rs
@@ -1,4 +1,5 @@
-//! Signed program tokens and cache tags.
+//! Signed tokens that identify programs to callers, and tags that identify them to
+//! engines.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,17 +10,19 @@
 use serde::{Deserialize, Serialize};
 use subtle::ConstantTimeEq;
 
-/// Longest accepted token text in bytes. Longer text is refused before it is decoded.
+/// Largest accepted length of a signed token, in bytes. Longer text is refused before it
+/// is decoded.
 pub const MAX_TOKEN_BYTES: usize = 2_048;
 
+/// BLAKE3 key derivation context. Changing it invalidates all issued tokens.
 const KEY_CONTEXT: &str = "jayreel 2026 program token signature";
 
-/// The key that signs program tokens. The same on all instances of a fleet.
+/// The key that signs program tokens. All instances of a fleet use the same one.
 #[derive(Clone)]
 pub struct TokenKey([u8; 32]);
 
 impl TokenKey {
-    /// Derives the key from the secret in the configuration.
+    /// Derives the key from the fleet's secret in the configuration.
     pub fn derive(secret: &str) -> TokenKey {
         TokenKey(blake3::derive_key(KEY_CONTEXT, secret.as_bytes()))
     }
@@ -31,32 +34,33 @@
     }
 }
 
-/// What a program token states. Callers hold it in signed form.
+/// The content of a program token. Callers receive and present it in signed form.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProgramToken {
     /// Name of the customer that opened the program.
     pub customer: String,
-    /// Name of the profile.
+    /// Name of the profile that the program was opened with.
     pub profile: String,
-    /// Budget of the root program in tokens.
+    /// Budget of the root program, in tokens.
     pub budget_tokens: u64,
-    /// The part of the budget that the owner spends without a record in the store. A
-    /// successor charges at least this.
+    /// The part of the budget that the owner may spend without a record in the store. A
+    /// successor charges at least this, unless the owner's final record gives the exact
+    /// spending.
     pub first_tranche_tokens: u64,
     /// The incarnation that opened the program.
     pub owner: Incarnation,
-    /// Number of the program, unique within the owner.
+    /// Sequence number of the program, unique within the owner.
     pub sequence: u64,
-    /// The root program, whose budget is used. A child that a successor opened has a
-    /// root of another owner.
+    /// Tag of the root program, whose budget is used. For a sub-agent that a successor
+    /// opened, the root has another owner.
     pub root: CacheTag,
-    /// End of validity in seconds since the Unix epoch.
+    /// Expiry time, in seconds since the Unix epoch.
     pub expires_at_unix_s: u64,
 }
 
 impl ProgramToken {
-    /// The signed text, in characters that are safe in URLs and headers.
+    /// Encodes and signs the token. The text is safe in URLs and headers.
     pub fn sign(&self, key: &TokenKey) -> String {
         let json = serde_json::to_vec(self).expect("a token is plain data");
         let mut text = URL_SAFE_NO_PAD.encode(json);
@@ -66,11 +70,11 @@
         text
     }
 
-    /// Reads a signed token on behalf of a customer.
+    /// Decodes a signed token and checks it for the authenticated customer.
     ///
     /// # Errors
     ///
-    /// `not_found` for text that this fleet did not sign and for an expired token,
+    /// `not_found` for text that was not signed with `key` and for an expired token;
     /// `not_allowed` for the token of another customer. Always `ran: no`.
     pub fn verify(
         text: &str,
@@ -94,12 +98,12 @@
         Ok(token)
     }
 
-    /// Whether the token is that of a root program.
+    /// Whether the program is a root program.
     pub fn is_root(&self) -> bool {
         self.root == self.cache_tag()
     }
 
-    /// The tag under which engines cache for this program.
+    /// The tag under which engines hold the program's cache.
     pub fn cache_tag(&self) -> CacheTag {
         CacheTag {
             owner: self.owner.clone(),
@@ -126,14 +130,15 @@
     Refusal::not_run(RefusalReason::NotFound, "no such program")
 }
 
-/// Names the cached state of one program at engines. Contains the owner, so that an
-/// engine's caretaker knows whom to ask. Never used for another program.
+/// Identifies a program's cache at the engines. It names the owner, so that the instance
+/// that looks after an engine's caches knows which instance to ask whether the program is
+/// still live. Never reused for another program.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct CacheTag {
     /// The incarnation that opened the program.
     pub owner: Incarnation,
-    /// Number of the program within the owner.
+    /// Sequence number of the program within the owner.
     pub sequence: u64,
 }
 
@@ -169,7 +174,7 @@
     }
 }
 
-/// Text that is not `INCARNATION~SEQUENCE`.
+/// The error for text that is not of the form `INCARNATION~SEQUENCE`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ParseCacheTagError;
 
--- a/crates/programs/tests/budget.rs
+++ b/crates/programs/tests/budget.rs
@@ -1,5 +1,5 @@
-//! Guards against programs that use more than their budget, alone, with sub-agents or
-//! through a successor.
+//! Budgets and their records. Guards against programs that use more than their budget: on
+//! their own, with sub-agents, or after a takeover.
 
 mod support;
 
@@ -12,7 +12,7 @@
 };
 use test_case::test_case;
 
-/// A process whose program has the whole budget granted.
+/// A process with one program whose whole budget was granted.
 fn granted() -> (Programs, jayreel_programs::ProgramId) {
     let mut programs = process("a.1");
     let id = open(&mut programs, None).program;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_answer_is_limited_to_what_is_left() {
+fn generated_tokens_are_limited_to_the_remaining_budget() {
     let (mut programs, id) = granted();
     assert!(runs(&programs.admit(0, id, model_call(1, 600, 100))));
     let _ = programs.finish(0, RequestId(1), usage(600));
@@ -68,11 +68,11 @@
 }
 
 #[test]
-fn an_exhausted_budget_releases_the_cache_once_and_refuses() {
+fn an_exhausted_budget_releases_the_cache_once_and_refuses_model_calls() {
     let (mut programs, id) = granted();
     assert!(runs(&programs.admit(0, id, model_call(1, 900, 100))));
-    let transition = programs.finish(0, RequestId(1), usage(1_000));
-    assert_eq!(transition.ended[0].reason, EndReason::BudgetExhausted);
+    let effects = programs.finish(0, RequestId(1), usage(1_000));
+    assert_eq!(effects.ended[0].reason, EndReason::BudgetExhausted);
     let answer = programs.admit(0, id, model_call(2, 1, 1));
     assert_eq!(refusal(answer), (RefusalReason::BudgetExhausted, Ran::No));
     assert!(
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn the_turn_limit_holds() {
+fn calls_beyond_the_turn_limit_are_refused() {
     let mut programs = process("a.1");
     let id = open(&mut programs, None).program;
     for number in 0..8 {
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn beyond_the_first_tranche_a_call_waits_for_the_record() {
+fn a_call_beyond_the_first_tranche_waits_for_the_record() {
     let mut programs = process("a.1");
     let id = open(&mut programs, None).program;
     assert_eq!(
@@ -127,9 +127,9 @@
     assert_eq!(record.live, [(1, 500)]);
     assert_eq!(programs.next_budget_record(), None, "one write at a time");
     let read_back = BudgetRecord::decode(&record.encode()).expect("a record");
-    let transition = programs.budget_record_written(&read_back);
-    assert_eq!(transition.resolved.len(), 1);
-    assert!(runs(&transition.resolved[0].admission));
+    let effects = programs.budget_record_written(&read_back);
+    assert_eq!(effects.resolved.len(), 1);
+    assert!(runs(&effects.resolved[0].admission));
 }
 
 #[test]
@@ -151,6 +151,8 @@
     assert_eq!(refusal(answer), (RefusalReason::StoreUnavailable, Ran::No));
 }
 
+/// The tokens that a successor of `a.1` counts as spent, given the budget record of
+/// `a.1`.
 fn successor_charges(token: &ProgramToken, record: Option<BudgetRecord>) -> u64 {
     let mut successor = process("b.1");
     successor.adopt(incarnation("a.1"), record);
@@ -174,7 +176,7 @@
 }
 
 #[test]
-fn a_successor_spends_nothing_before_its_own_record() {
+fn a_successor_spends_nothing_before_its_own_grant_is_recorded() {
     let token = open(&mut process("a.1"), None).token;
     let mut successor = process("b.1");
     successor.adopt(incarnation("a.1"), None);
@@ -190,7 +192,7 @@
 }
 
 #[test]
-fn a_closed_program_does_not_return_at_a_successor() {
+fn a_closed_program_is_not_adopted_by_a_successor() {
     let mut owner = process("a.1");
     let closed = open(&mut owner, None);
     let live = open(&mut owner, None);
@@ -209,7 +211,7 @@
 }
 
 #[test]
-fn an_instance_that_is_no_successor_does_not_adopt() {
+fn only_a_successor_adopts_a_program() {
     let token = open(&mut process("a.1"), None).token;
     let refused = process("b.1").resolve(0, &token, &profile());
     assert_eq!(
@@ -219,7 +221,7 @@
 }
 
 #[test]
-fn the_record_of_a_full_instance_fits_into_one_value() {
+fn the_budget_record_of_a_full_instance_fits_into_one_store_value() {
     let name = format!("{}.{}", "n".repeat(40), u64::MAX);
     let mut programs = process(&name);
     let profile = profile();
@@ -238,20 +240,20 @@
 }
 
 #[test]
-fn a_settled_call_lets_a_sub_agent_run_that_waited_for_a_grant() {
+fn tokens_left_by_a_finished_call_start_a_call_that_waited_for_a_grant() {
     let mut programs = process("a.1");
     let root = open(&mut programs, None).program;
     let child = open(&mut programs, Some(root)).program;
     assert!(runs(&programs.admit(0, root, model_call(1, 190, 10))));
     let waiting = programs.admit(0, child, model_call(2, 90, 10));
     assert_eq!(waiting, Admission::NeedsGrant);
-    let transition = programs.finish(0, RequestId(1), usage(10));
-    assert_eq!(transition.resolved[0].request_id, RequestId(2));
-    assert!(runs(&transition.resolved[0].admission));
+    let effects = programs.finish(0, RequestId(1), usage(10));
+    assert_eq!(effects.resolved[0].request_id, RequestId(2));
+    assert!(runs(&effects.resolved[0].admission));
 }
 
 #[test]
-fn a_sub_agent_of_a_successor_is_not_adopted_without_the_record_of_both() {
+fn adopting_a_sub_agent_of_a_successor_needs_the_records_of_both_incarnations() {
     let token = open(&mut process("a.1"), None).token;
     let mut successor = process("b.1");
     successor.adopt(incarnation("a.1"), None);
--- a/crates/programs/tests/keyed_handover.rs
+++ b/crates/programs/tests/keyed_handover.rs
@@ -1,5 +1,6 @@
-//! Guards against a second run of a call whose idempotency key a stopped process knew, and
-//! against successors that refuse keys although the stopped process told them all.
+//! The handover of idempotency keys by a stopping process. Guards against a second run of
+//! a key that the stopped process knew, and against successors that refuse keys although
+//! they received everything that it knew.
 
 use std::collections::BTreeMap;
 
@@ -31,7 +32,8 @@
     })
 }
 
-/// Has seen only the founder `f` from 0 to `until_ms`.
+/// Process `name`, which read that only the founder `f` is registered every second from 0
+/// to `until_ms`.
 fn reader(name: &str, until_ms: u64) -> KeyedCalls {
     let mut calls = new_calls(name);
     if name == "f" {
@@ -43,23 +45,24 @@
     calls
 }
 
-fn ask(calls: &mut KeyedCalls, now_ms: u64, number: u64, key: &str) -> KeyedAdmission {
+fn admit(calls: &mut KeyedCalls, now_ms: u64, number: u64, key: &str) -> KeyedAdmission {
     calls.admit(now_ms, RequestId(number), "acme", key, false)
 }
 
 fn run(calls: &mut KeyedCalls, now_ms: u64, number: u64, key: &str) {
-    assert_eq!(ask(calls, now_ms, number, key), KeyedAdmission::Run);
+    assert_eq!(admit(calls, now_ms, number, key), KeyedAdmission::Run);
     calls.finish(now_ms, RequestId(number), Ran::Yes);
 }
 
-fn ran(admission: KeyedAdmission) -> Ran {
+/// Whether a refused call ran, as stated in the refusal.
+fn refused_as(admission: KeyedAdmission) -> Ran {
     match admission {
         KeyedAdmission::Refuse(refusal) => refusal.ran,
         other => panic!("expected a refusal, got {other:?}"),
     }
 }
 
-/// The parts that `calls` hands to the only successor.
+/// Retires `calls` and returns the parts for its only successor `to`, with one key each.
 fn parts(calls: &mut KeyedCalls, now_ms: u64, to: &str) -> Vec<KeyedHandover> {
     calls.retire(now_ms);
     let parts = calls.export(now_ms, processes(&[to]), 1);
@@ -68,7 +71,7 @@
 }
 
 #[test]
-fn a_successor_knows_the_keys_and_runs_new_ones() {
+fn a_successor_refuses_known_keys_and_runs_new_ones() {
     let mut founder = reader("f", 5_000);
     run(&mut founder, 5_000, 1, "old");
     let mut successor = reader("a", 5_000);
@@ -76,23 +79,23 @@
         successor.import(5_500, part);
     }
     successor.registrations_read(6_000, processes(&["a"]), Some(1));
-    assert_eq!(ran(ask(&mut successor, 6_000, 1, "old")), Ran::Yes);
+    assert_eq!(refused_as(admit(&mut successor, 6_000, 1, "old")), Ran::Yes);
     run(&mut successor, 6_000, 2, "new");
 }
 
 #[test]
 fn a_retired_process_admits_no_key_and_exports_only_without_calls() {
     let mut founder = reader("f", 5_000);
-    assert_eq!(ask(&mut founder, 5_000, 1, "k"), KeyedAdmission::Run);
+    assert_eq!(admit(&mut founder, 5_000, 1, "k"), KeyedAdmission::Run);
     founder.retire(5_000);
-    assert_eq!(ran(ask(&mut founder, 5_000, 2, "new")), Ran::No);
+    assert_eq!(refused_as(admit(&mut founder, 5_000, 2, "new")), Ran::No);
     assert_eq!(founder.export(5_000, processes(&["a"]), 1), None);
     founder.finish(5_000, RequestId(1), Ran::Unknown);
     assert!(founder.export(5_000, processes(&["a"]), 1).is_some());
 }
 
 #[test]
-fn a_missing_part_leaves_keys_unknown_and_a_doubled_part_does_not_replace_it() {
+fn a_missing_part_leaves_keys_unknown_even_if_another_arrives_twice() {
     let mut founder = reader("f", 5_000);
     run(&mut founder, 5_000, 1, "one");
     run(&mut founder, 5_000, 2, "two");
@@ -102,14 +105,18 @@
     successor.import(5_500, parts[0].clone());
     successor.import(5_500, parts[0].clone());
     successor.registrations_read(6_000, processes(&["a"]), Some(1));
-    assert_eq!(ran(ask(&mut successor, 6_000, 1, "new")), Ran::Unknown);
+    assert_eq!(
+        refused_as(admit(&mut successor, 6_000, 1, "new")),
+        Ran::Unknown
+    );
     successor.import(6_500, parts[1].clone());
     run(&mut successor, 6_500, 2, "new");
 }
 
-// Between the two views a third process may have been responsible.
+// Between its last view of the founder and its own responsibility, a third process may
+// have been responsible.
 #[test]
-fn a_gap_before_the_own_responsibility_leaves_keys_unknown() {
+fn a_gap_before_becoming_responsible_leaves_keys_unknown() {
     let mut founder = reader("f", 5_000);
     let mut successor = reader("a", 5_000);
     for part in parts(&mut founder, 5_000, "a") {
@@ -117,12 +124,16 @@
     }
     let now_ms = 5_000 + FRESHNESS_MS + 1;
     successor.registrations_read(now_ms, processes(&["a"]), Some(1));
-    assert_eq!(ran(ask(&mut successor, now_ms, 1, "new")), Ran::Unknown);
+    assert_eq!(
+        refused_as(admit(&mut successor, now_ms, 1, "new")),
+        Ran::Unknown
+    );
 }
 
-// Another process may have become responsible since the last reading.
+// Another process may have become responsible since the stopped process last read the
+// registrations.
 #[test]
-fn a_claim_from_an_old_view_does_not_count() {
+fn a_claim_based_on_an_old_view_has_no_effect() {
     let mut founder = reader("f", 5_000);
     let now_ms = 5_000 + FRESHNESS_MS + 1;
     let mut successor = reader("a", now_ms);
@@ -131,12 +142,15 @@
     }
     let now_ms = now_ms + STEP_MS;
     successor.registrations_read(now_ms, processes(&["a"]), Some(1));
-    assert_eq!(ran(ask(&mut successor, now_ms, 1, "new")), Ran::Unknown);
+    assert_eq!(
+        refused_as(admit(&mut successor, now_ms, 1, "new")),
+        Ran::Unknown
+    );
 }
 
-// A third process had the key between the stopped one and this one.
+// A third process was responsible for the key between the stopped process and this one.
 #[test]
-fn a_claim_of_an_earlier_process_does_not_count() {
+fn a_claim_of_an_earlier_predecessor_has_no_effect() {
     let mut founder = reader("f", 5_000);
     let mut successor = reader("a", 5_000);
     for part in parts(&mut founder, 5_000, "a") {
@@ -144,11 +158,14 @@
     }
     successor.registrations_read(6_000, processes(&["z"]), Some(1));
     successor.registrations_read(7_000, processes(&["a"]), Some(1));
-    assert_eq!(ran(ask(&mut successor, 7_000, 1, "new")), Ran::Unknown);
+    assert_eq!(
+        refused_as(admit(&mut successor, 7_000, 1, "new")),
+        Ran::Unknown
+    );
 }
 
 #[test]
-fn a_successor_that_stops_passes_both_memories_on() {
+fn a_stopping_successor_hands_on_inherited_and_own_keys() {
     let mut founder = reader("f", 5_000);
     run(&mut founder, 5_000, 1, "of the founder");
     let (mut first, mut second) = (reader("a", 5_000), reader("b", 5_000));
@@ -163,12 +180,19 @@
         second.import(6_600, part);
     }
     second.registrations_read(7_000, processes(&["b"]), Some(1));
-    assert_eq!(ran(ask(&mut second, 7_000, 1, "of the founder")), Ran::Yes);
-    assert_eq!(ran(ask(&mut second, 7_000, 2, "of the first")), Ran::Yes);
+    assert_eq!(
+        refused_as(admit(&mut second, 7_000, 1, "of the founder")),
+        Ran::Yes
+    );
+    assert_eq!(
+        refused_as(admit(&mut second, 7_000, 2, "of the first")),
+        Ran::Yes
+    );
     run(&mut second, 7_000, 3, "new");
 }
 
-// A key is remembered for the window after its call, also if it was handed over.
+// A key is stored for the late repeat window after the end of its call, also if it was
+// handed over.
 #[test]
 fn a_handed_over_key_is_forgotten_after_the_window() {
     let mut founder = reader("f", 400_000);
@@ -181,6 +205,9 @@
     for time_ms in (400_000..=end_ms).step_by(STEP_MS as usize) {
         successor.registrations_read(time_ms, processes(&["a"]), Some(1));
     }
-    assert_eq!(ran(ask(&mut successor, end_ms, 1, "old")), Ran::Yes);
+    assert_eq!(
+        refused_as(admit(&mut successor, end_ms, 1, "old")),
+        Ran::Yes
+    );
     run(&mut successor, end_ms + 1, 2, "old");
 }
--- a/crates/programs/tests/lifetime.rs
+++ b/crates/programs/tests/lifetime.rs
@@ -1,5 +1,6 @@
-//! Guards against programs that end too early, too late, or lose their records when they
-//! move to another instance.
+//! The end of programs and their transfer to another instance. Guards against programs
+//! that end too early or too late, and against a transfer that loses spending, turns or
+//! idempotency keys.
 
 mod support;
 
@@ -15,8 +16,8 @@
 
 const IDLE_MS: u64 = 900_000;
 
-fn tags(transition: &ProgramEffects) -> Vec<CacheTag> {
-    transition
+fn ended_tags(effects: &ProgramEffects) -> Vec<CacheTag> {
+    effects
         .ended
         .iter()
         .map(|ended| ended.cache_tag.clone())
@@ -27,10 +28,10 @@
 fn an_idle_program_expires() {
     let mut programs = process("a.1");
     let opened = open(&mut programs, None);
-    assert!(tags(&programs.expire(IDLE_MS - 1)).is_empty());
-    let transition = programs.expire(IDLE_MS);
-    assert_eq!(tags(&transition), [opened.token.cache_tag()]);
-    assert_eq!(transition.ended[0].reason, EndReason::Idle);
+    assert!(ended_tags(&programs.expire(IDLE_MS - 1)).is_empty());
+    let effects = programs.expire(IDLE_MS);
+    assert_eq!(ended_tags(&effects), [opened.token.cache_tag()]);
+    assert_eq!(effects.ended[0].reason, EndReason::Idle);
     assert!(!programs.owns_cache_tag(&opened.token.cache_tag()));
     let again = programs.resolve(IDLE_MS, &opened.token, &profile());
     assert_eq!(again.expect_err("refused").reason, RefusalReason::NotFound);
@@ -42,7 +43,7 @@
     let root = open(&mut programs, None).program;
     let child = open(&mut programs, Some(root)).program;
     assert!(runs(&programs.admit(1, child, call(1))));
-    assert!(tags(&programs.expire(10 * IDLE_MS)).len() <= 1);
+    assert!(ended_tags(&programs.expire(10 * IDLE_MS)).len() <= 1);
     assert!(programs.token(child).is_some());
     let _ = programs.finish(10 * IDLE_MS, RequestId(1), None);
     let root = open(&mut programs, None).program;
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn closing_ends_sub_agents_and_refuses_what_waits() {
+fn closing_ends_sub_agents_and_refuses_waiting_calls() {
     let mut programs = process("a.1");
     let root = open(&mut programs, None).program;
     let child = open(&mut programs, Some(root)).program;
@@ -62,13 +63,13 @@
     let other = open(&mut programs, None).program;
     assert!(runs(&programs.admit(0, child, call(1))));
     assert_eq!(programs.admit(0, child, call(2)), Admission::Wait);
-    let mut transition = programs.close(0, root);
+    let mut effects = programs.close(0, root);
     assert_eq!(
-        transition.ended.len(),
+        effects.ended.len(),
         2,
         "the program with a running call ends later"
     );
-    let waiting = transition.resolved.remove(0);
+    let waiting = effects.resolved.remove(0);
     assert_eq!(waiting.request_id, RequestId(2));
     assert_eq!(
         refusal(waiting.admission),
@@ -81,7 +82,8 @@
     assert!(programs.token(other).is_some());
 }
 
-/// An owner with one program that has run an action with key `k` in turn 0.
+/// An owner with one program that ran a non-repeatable call with key `k` in turn 0 and a
+/// model call of 15 tokens in turn 1.
 fn owner() -> (Programs, OpenedProgram) {
     let mut owner = process("a.1");
     let opened = open(&mut owner, None);
@@ -98,7 +100,7 @@
 }
 
 #[test]
-fn after_a_handover_no_call_is_unknown() {
+fn after_a_handover_turns_keys_and_spending_are_known() {
     let (mut owner, opened) = owner();
     let handover = owner.export().expect("no call runs");
     let stopped = owner.admit(0, opened.program, call(3));
@@ -129,7 +131,7 @@
 }
 
 #[test]
-fn a_lost_handover_message_leaves_the_exact_spending() {
+fn a_lost_handover_message_preserves_the_exact_spending() {
     let (mut owner, opened) = owner();
     let handover = owner.export().expect("no call runs");
     let mut successor = process("b.1");
@@ -144,7 +146,7 @@
 }
 
 #[test]
-fn a_late_or_repeated_handover_does_not_undo_what_the_successor_did() {
+fn a_late_or_repeated_handover_does_not_overwrite_newer_state() {
     let (mut owner, opened) = owner();
     let handover = owner.export().expect("no call runs");
     let mut successor = process("b.1");
@@ -198,7 +200,7 @@
 }
 
 #[test]
-fn a_program_that_ended_at_a_successor_does_not_return_without_its_keys() {
+fn a_program_that_ended_at_a_successor_is_not_adopted_again() {
     let (_, opened) = owner();
     let mut successor = process("b.1");
     successor.adopt(incarnation("a.1"), None);
@@ -211,12 +213,12 @@
 }
 
 #[test]
-fn a_superseded_owner_refuses_what_waits_as_not_run() {
+fn a_superseded_owner_refuses_waiting_calls_as_not_run() {
     let (mut owner, opened) = owner();
     assert!(runs(&owner.admit(0, opened.program, call(3))));
     assert_eq!(owner.admit(0, opened.program, call(4)), Admission::Wait);
-    let mut transition = owner.supersede();
-    let waiting = transition.resolved.remove(0).admission;
+    let mut effects = owner.supersede();
+    let waiting = effects.resolved.remove(0).admission;
     assert_eq!(refusal(waiting), (RefusalReason::OwnerUnavailable, Ran::No));
     assert!(owner.finish(0, RequestId(3), None).resolved.is_empty());
     assert!(record_grants(&mut owner).is_empty());
--- a/crates/programs/tests/order.rs
+++ b/crates/programs/tests/order.rs
@@ -1,4 +1,5 @@
-//! Guards against calls of one program that overlap, run out of order or run twice.
+//! The order of the calls of one program. Guards against calls that overlap, run out of
+//! turn or run twice.
 
 mod support;
 
@@ -22,16 +23,16 @@
     assert_eq!(programs.admit(0, id, call(2)), Admission::Wait);
     assert_eq!(programs.admit(0, id, call(3)), Admission::Wait);
     for next in [2, 3] {
-        let transition = programs.finish(0, RequestId(next - 1), None);
-        assert_eq!(transition.resolved.len(), 1);
-        assert_eq!(transition.resolved[0].request_id, RequestId(next));
-        assert!(runs(&transition.resolved[0].admission));
+        let effects = programs.finish(0, RequestId(next - 1), None);
+        assert_eq!(effects.resolved.len(), 1);
+        assert_eq!(effects.resolved[0].request_id, RequestId(next));
+        assert!(runs(&effects.resolved[0].admission));
     }
     assert!(programs.finish(0, RequestId(3), None).resolved.is_empty());
 }
 
 #[test]
-fn a_second_answer_for_a_call_changes_nothing() {
+fn a_second_end_of_a_call_changes_nothing() {
     let mut programs = process("a.1");
     let id = open(&mut programs, None).program;
     assert!(runs(&programs.admit(0, id, call(1))));
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn a_call_that_did_not_run_gives_back_its_turn_and_key() {
+fn a_call_that_did_not_run_releases_its_turn_and_key() {
     let mut programs = process("a.1");
     let id = open(&mut programs, None).program;
     let first = CallParams {
@@ -64,8 +65,8 @@
     };
     assert!(runs(&programs.admit(0, id, first)));
     assert_eq!(programs.admit(0, id, with_turn(2, 1)), Admission::Wait);
-    let mut transition = programs.fail(0, RequestId(1), Ran::No);
-    let overtaking = transition.resolved.remove(0).admission;
+    let mut effects = programs.fail(0, RequestId(1), Ran::No);
+    let overtaking = effects.resolved.remove(0).admission;
     assert_eq!(refusal(overtaking), (RefusalReason::WrongTurn, Ran::No));
     let again = CallParams {
         turn: Some(0),
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn a_repeatable_repeat_leaves_an_unknown_key_unknown() {
+fn a_repeatable_retry_leaves_an_unknown_key_unknown() {
     let mut programs = process("a.1");
     let id = open(&mut programs, None).program;
     assert!(runs(&programs.admit(0, id, action(1, "k"))));
@@ -109,15 +110,15 @@
 }
 
 #[test]
-fn a_withdrawn_call_frees_its_place() {
+fn a_withdrawn_call_leaves_the_queue_and_releases_its_key() {
     let mut programs = process("a.1");
     let id = open(&mut programs, None).program;
     assert!(runs(&programs.admit(0, id, call(1))));
     assert_eq!(programs.admit(0, id, action(2, "k")), Admission::Wait);
     assert_eq!(programs.fail(0, RequestId(2), Ran::No), Default::default());
     assert_eq!(programs.admit(0, id, action(3, "k")), Admission::Wait);
-    let transition = programs.finish(0, RequestId(1), None);
-    assert_eq!(transition.resolved[0].request_id, RequestId(3));
+    let effects = programs.finish(0, RequestId(1), None);
+    assert_eq!(effects.resolved[0].request_id, RequestId(3));
 }
 
 #[test]
--- a/crates/programs/tests/ownership.rs
+++ b/crates/programs/tests/ownership.rs
@@ -1,4 +1,5 @@
-//! Guards against two owners of one program and against forwarding loops.
+//! The choice of the instance that serves a program. Guards against two owners of one
+//! program and against calls that are forwarded in a loop.
 
 mod support;
 
@@ -11,9 +12,10 @@
 use support::incarnation;
 use test_case::test_case;
 
-struct Facts(OwnerStatus);
+/// Returns the same status for every incarnation.
+struct FixedOwner(OwnerStatus);
 
-impl OwnerLookup for Facts {
+impl OwnerLookup for FixedOwner {
     fn owner(&self, _incarnation: &Incarnation) -> OwnerStatus {
         self.0
     }
@@ -21,13 +23,14 @@
 
 const DELAY_MS: u64 = 5_000;
 
-fn ask(
+/// What `b.1` decides about a call of a program that `a.1` opened.
+fn decide_call(
     liveness: OwnerLiveness,
     absent_ms: Option<u64>,
     takeovers: &Takeovers,
     was_forwarded: bool,
 ) -> Decision {
-    let facts = Facts(OwnerStatus {
+    let owner = FixedOwner(OwnerStatus {
         liveness,
         registration_absent_ms: absent_ms,
     });
@@ -35,13 +38,14 @@
     let view = OwnershipView {
         own: &own,
         takeovers,
-        owners: &facts,
+        owners: &owner,
         takeover_delay_ms: DELAY_MS,
     };
     decide(view, &incarnation("a.1"), was_forwarded)
 }
 
-fn taken_over(by: &str) -> Takeovers {
+/// Takeover records in which `by` succeeds `a.1`.
+fn succeeded_by(by: &str) -> Takeovers {
     let mut takeovers = Takeovers::default();
     let successor = incarnation(by);
     let record = TakeoverRecord {
@@ -58,21 +62,24 @@
     let none = Takeovers::default();
     let to = incarnation("a.1");
     let expected = Decision::Forward { to };
-    assert_eq!(ask(liveness, Some(DELAY_MS), &none, false), expected);
+    assert_eq!(
+        decide_call(liveness, Some(DELAY_MS), &none, false),
+        expected
+    );
     assert!(matches!(
-        ask(liveness, None, &none, true),
+        decide_call(liveness, None, &none, true),
         Decision::Refuse(_)
     ));
 }
 
 #[test_case(OwnerLiveness::Suspect, Some(DELAY_MS); "still suspect")]
-#[test_case(OwnerLiveness::Dead, Some(DELAY_MS - 1); "registration absent too shortly")]
+#[test_case(OwnerLiveness::Dead, Some(DELAY_MS - 1); "registration not absent for long enough")]
 #[test_case(OwnerLiveness::Dead, None; "registered or no store contact")]
 fn an_unreachable_owner_is_not_replaced_early(
     liveness: OwnerLiveness,
     absent_ms: Option<u64>,
 ) {
-    match ask(liveness, absent_ms, &Takeovers::default(), false) {
+    match decide_call(liveness, absent_ms, &Takeovers::default(), false) {
         Decision::Refuse(refusal) => {
             assert_eq!(refusal.reason, RefusalReason::OwnerUnavailable);
             assert_eq!(refusal.ran, Ran::No);
@@ -83,8 +90,8 @@
 }
 
 #[test]
-fn a_dead_owner_is_claimed() {
-    let decision = ask(
+fn a_dead_owner_is_succeeded_by() {
+    let decision = decide_call(
         OwnerLiveness::Dead,
         Some(DELAY_MS),
         &Takeovers::default(),
@@ -100,19 +107,22 @@
 
 #[test]
 fn the_named_successor_serves_and_others_forward_to_it() {
-    let own = taken_over("b.1");
-    assert_eq!(ask(OwnerLiveness::Dead, None, &own, true), Decision::Serve);
-    let other = taken_over("c.1");
+    let own = succeeded_by("b.1");
+    assert_eq!(
+        decide_call(OwnerLiveness::Dead, None, &own, true),
+        Decision::Serve
+    );
+    let other = succeeded_by("c.1");
     let to = incarnation("c.1");
     assert_eq!(
-        ask(OwnerLiveness::Alive, None, &other, false),
+        decide_call(OwnerLiveness::Alive, None, &other, false),
         Decision::Forward { to }
     );
 }
 
 #[test]
-fn a_line_of_successors_is_followed_and_the_first_record_kept() {
-    let mut takeovers = taken_over("b.1");
+fn a_chain_of_successors_is_followed_and_the_first_record_kept() {
+    let mut takeovers = succeeded_by("b.1");
     let record = |by: &str| TakeoverRecord {
         successor: incarnation(by),
         is_planned: false,
@@ -138,6 +148,6 @@
         is_planned: false,
     };
     takeovers.learn(incarnation("b.1"), &record);
-    let decision = ask(OwnerLiveness::Dead, Some(DELAY_MS), &takeovers, false);
+    let decision = decide_call(OwnerLiveness::Dead, Some(DELAY_MS), &takeovers, false);
     assert!(matches!(decision, Decision::Refuse(_)));
 }
--- a/crates/programs/tests/properties.rs
+++ b/crates/programs/tests/properties.rs
@@ -1,4 +1,7 @@
-//! Guards the invariants of a program under any order of calls, answers and store faults.
+//! Random sequences of calls, ends of calls, budget record writes and closes at a root
+//! program with two sub-agents. Checks after each step that at most one call of a program
+//! runs, that no idempotency key runs twice, that every answer goes to a waiting call,
+//! and that no tokens are spent beyond the budget or the recorded grant.
 
 mod support;
 
@@ -60,12 +63,13 @@
     key: Option<String>,
 }
 
-/// What a caller and the store see.
+/// The state as callers and the store see it.
 #[derive(Default)]
 struct Observer {
     running: BTreeMap<RequestId, Running>,
     waiting: BTreeMap<RequestId, CallParams>,
     keys: BTreeMap<(ProgramId, String), u32>,
+    /// The root program's grant in the last confirmed budget record.
     recorded_tokens: u64,
     next_call: u64,
 }
@@ -74,22 +78,22 @@
     fn answer(
         &mut self,
         program: ProgramId,
-        facts: CallParams,
+        params: CallParams,
         answer: Admission,
     ) -> Result<(), TestCaseError> {
-        let id = facts.request_id;
+        let id = params.request_id;
         match answer {
             Admission::Wait | Admission::NeedsGrant => {
-                self.waiting.insert(id, facts);
+                self.waiting.insert(id, params);
             }
             Admission::Refuse(refusal) => {
-                prop_assert!(refusal.ran == Ran::No || facts.idempotency_key.is_some())
+                prop_assert!(refusal.ran == Ran::No || params.idempotency_key.is_some())
             }
             Admission::Run { max_tokens, .. } => {
-                let others = self.running.values().filter(|one| one.program == program);
+                let others = self.running.values().filter(|call| call.program == program);
                 prop_assert_eq!(others.count(), 0, "two calls of one program run");
-                let reserved_tokens = facts.prompt_bound_tokens + max_tokens;
-                let key = facts.idempotency_key;
+                let reserved_tokens = params.prompt_bound_tokens + max_tokens;
+                let key = params.idempotency_key;
                 let call = Running {
                     program,
                     reserved_tokens,
@@ -106,17 +110,17 @@
         Ok(())
     }
 
-    fn transition(
+    fn apply_effects(
         &mut self,
         programs: &[ProgramId],
         owners: &BTreeMap<RequestId, usize>,
-        transition: ProgramEffects,
+        effects: ProgramEffects,
     ) -> Result<(), TestCaseError> {
-        for resolved in transition.resolved {
-            let facts = self.waiting.remove(&resolved.request_id);
-            prop_assert!(facts.is_some(), "an answer to a call that does not wait");
+        for resolved in effects.resolved {
+            let params = self.waiting.remove(&resolved.request_id);
+            prop_assert!(params.is_some(), "an answer to a call that was not waiting");
             let program = programs[owners[&resolved.request_id]];
-            self.answer(program, facts.expect("checked"), resolved.admission)?;
+            self.answer(program, params.expect("checked"), resolved.admission)?;
         }
         Ok(())
     }
@@ -130,82 +134,84 @@
         open(&mut programs, Some(root)).program,
         open(&mut programs, Some(root)).program,
     ];
-    let mut seen = Observer::default();
+    let mut observer = Observer::default();
     let mut owners = BTreeMap::new();
     for step in steps {
-        apply(&mut programs, &ids, &mut seen, &mut owners, step)?;
+        apply(&mut programs, &ids, &mut observer, &mut owners, step)?;
         let account = programs.account(root).expect("the root is never closed");
         let used_tokens = account.spent_tokens + account.reserved_tokens;
         prop_assert!(used_tokens <= BUDGET_TOKENS, "the budget is exceeded");
-        let allowed_tokens = seen.recorded_tokens.max(BUDGET_TOKENS / 4);
+        let allowed_tokens = observer.recorded_tokens.max(BUDGET_TOKENS / 4);
         prop_assert!(
             used_tokens <= allowed_tokens,
-            "spent before it was recorded"
+            "spent beyond the recorded grant"
         );
     }
     Ok(())
 }
 
+/// Applies a step to the programs and the observer. Calls are numbered with the running
+/// ones first.
 fn apply(
     programs: &mut Programs,
     ids: &[ProgramId; 3],
-    seen: &mut Observer,
+    observer: &mut Observer,
     owners: &mut BTreeMap<RequestId, usize>,
     step: Step,
 ) -> Result<(), TestCaseError> {
-    let nth = |seen: &Observer, call: usize| {
-        let all = seen
+    let nth_call = |observer: &Observer, call: usize| {
+        let running = observer
             .running
             .iter()
-            .map(|(id, one)| (*id, Some(one.reserved_tokens)));
-        let waiting = seen.waiting.keys().map(|id| (*id, None));
-        let calls: Vec<_> = all.chain(waiting).collect();
+            .map(|(id, call)| (*id, Some(call.reserved_tokens)));
+        let waiting = observer.waiting.keys().map(|id| (*id, None));
+        let calls: Vec<_> = running.chain(waiting).collect();
         calls.get(call).copied()
     };
-    let transition = match step {
+    let effects = match step {
         Step::Admit {
             program,
             prompt_tokens,
             max_tokens,
             key,
         } => {
-            seen.next_call += 1;
-            let mut facts = model_call(seen.next_call, prompt_tokens, max_tokens);
-            facts.repeatable = key.is_none();
-            facts.idempotency_key = key.map(|key| format!("k{key}"));
-            owners.insert(facts.request_id, program);
-            let answer = programs.admit(0, ids[program], facts.clone());
-            return seen.answer(ids[program], facts, answer);
+            observer.next_call += 1;
+            let mut params = model_call(observer.next_call, prompt_tokens, max_tokens);
+            params.repeatable = key.is_none();
+            params.idempotency_key = key.map(|key| format!("k{key}"));
+            owners.insert(params.request_id, program);
+            let answer = programs.admit(0, ids[program], params.clone());
+            return observer.answer(ids[program], params, answer);
         }
         Step::Finish {
             call,
             tokens,
             is_known,
-        } => match nth(seen, call) {
+        } => match nth_call(observer, call) {
             Some((id, Some(reserved_tokens))) => {
-                seen.running.remove(&id);
+                observer.running.remove(&id);
                 let used = usage(tokens.min(reserved_tokens)).filter(|_| is_known);
                 programs.finish(0, id, used)
             }
             _ => ProgramEffects::default(),
         },
-        Step::Fail { call, ran } => match nth(seen, call) {
+        Step::Fail { call, ran } => match nth_call(observer, call) {
             Some((id, Some(_))) => {
-                let call = seen.running.remove(&id).expect("it runs");
+                let call = observer.running.remove(&id).expect("it runs");
                 if let (Ran::No, Some(key)) = (ran, call.key) {
-                    seen.keys.remove(&(call.program, key));
+                    observer.keys.remove(&(call.program, key));
                 }
                 programs.fail(0, id, ran)
             }
             Some((id, None)) => {
-                seen.waiting.remove(&id);
+                observer.waiting.remove(&id);
                 programs.fail(0, id, ran)
             }
             None => ProgramEffects::default(),
         },
         Step::Write { is_confirmed } => match programs.next_budget_record() {
             Some(record) if is_confirmed => {
-                seen.recorded_tokens = record.live[0].1;
+                observer.recorded_tokens = record.live[0].1;
                 programs.budget_record_written(&record)
             }
             Some(_) => programs.budget_record_failed(),
@@ -213,11 +219,11 @@
         },
         Step::Close { program } => programs.close(0, ids[program]),
     };
-    seen.transition(ids, owners, transition)
+    observer.apply_effects(ids, owners, effects)
 }
 
 #[test]
-fn the_invariants_hold_in_any_order_of_events() {
+fn the_invariants_hold_for_any_order_of_events() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let config = Config {
         cases: 400,
--- a/crates/programs/tests/support/mod.rs
+++ b/crates/programs/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A process with programs for tests.
+//! Fixtures shared by the tests of programs.
 #![allow(dead_code)]
 
 use jayreel_model::{Incarnation, Profile, Ran, RefusalReason, RequestId};
@@ -7,7 +7,9 @@
     ProgramsConfig, Usage,
 };
 
+/// Budget of the test profile. The first tranche is a quarter of it.
 pub const BUDGET_TOKENS: u64 = 1_000;
+/// Validity of program tokens.
 pub const LIFETIME_S: u64 = 3_600;
 
 pub fn incarnation(text: &str) -> Incarnation {
@@ -56,7 +58,7 @@
     programs.resolve(0, token, &profile()).expect("resolved")
 }
 
-/// A repeatable call without tokens.
+/// A repeatable call that uses no tokens.
 pub fn call(number: u64) -> CallParams {
     CallParams {
         request_id: RequestId(number),
@@ -77,7 +79,7 @@
     }
 }
 
-/// A non-repeatable call with a key.
+/// A non-repeatable call with an idempotency key.
 pub fn action(number: u64, key: &str) -> CallParams {
     let idempotency_key = Some(key.to_string());
     CallParams {
@@ -91,6 +93,7 @@
     matches!(admission, Admission::Run { .. })
 }
 
+/// The reason of a refusal, and whether the call ran.
 pub fn refusal(admission: Admission) -> (RefusalReason, Ran) {
     match admission {
         Admission::Refuse(refusal) => (refusal.reason, refusal.ran),
@@ -98,6 +101,7 @@
     }
 }
 
+/// A known usage of this many uncached prompt tokens.
 pub fn usage(tokens: u64) -> Option<Usage> {
     Some(Usage {
         prompt_tokens: tokens,
@@ -105,13 +109,14 @@
     })
 }
 
-/// Records all grants that are needed, as a store without faults does.
+/// Records all grants that are needed, as if every write succeeded, and returns the
+/// answers to the calls that waited for them.
 pub fn record_grants(programs: &mut Programs) -> Vec<(RequestId, Admission)> {
     let mut resolved = Vec::new();
     while let Some(record) = programs.next_budget_record() {
-        let transition = programs.budget_record_written(&record);
-        let answers = transition.resolved.into_iter();
-        resolved.extend(answers.map(|one| (one.request_id, one.admission)));
+        let effects = programs.budget_record_written(&record);
+        let answers = effects.resolved.into_iter();
+        resolved.extend(answers.map(|answer| (answer.request_id, answer.admission)));
     }
     resolved
 }
--- a/crates/programs/tests/token.rs
+++ b/crates/programs/tests/token.rs
@@ -1,5 +1,5 @@
-//! Guards against tokens that a caller made, changed, kept too long or took from another
-//! customer.
+//! Signed program tokens. Guards against the acceptance of tokens that a caller forged,
+//! altered, kept past their expiry or took from another customer.
 
 mod support;
 
