--- a/crates/quota/src/home.rs
+++ b/crates/quota/src/home.rs
@@ -1,25 +1,26 @@
-//! The home weight that an instance may use.
+//! The home weight that an instance may use, now and in the future.
 
-/// A weight and the time from which it may be used.
+/// A weight and the time from which on it may be used.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct Step {
     weight_ppm: u32,
     from_ms: u64,
 }
 
-/// The home weight of this instance over time.
+/// The home weight of this instance over time, until its validity ends.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
-pub(crate) struct Home {
-    /// Increasing in both fields. The last one is the weight last read from the store.
+pub(crate) struct HomeSchedule {
+    /// Ordered by time and by weight. The last one is the weight last set.
     steps: Vec<Step>,
+    /// The weight is 0 from this time on.
     valid_until_ms: u64,
-    /// Set when the validity has ended, until the next renewal.
-    lapsed: bool,
+    /// Whether the validity ended since the last renewal.
+    expired: bool,
 }
 
-impl Home {
-    /// Sets the weight. A decrease counts at once; an increase counts at once up to
-    /// `settled_ppm`, and beyond it `delay_ms` later.
+impl HomeSchedule {
+    /// Sets the weight. A decrease takes effect at once. An increase takes effect at once
+    /// up to `settled_ppm`, and `delay_ms` later beyond it.
     pub fn set(
         &mut self,
         now_ms: u64,
@@ -28,8 +29,8 @@
         valid_until_ms: u64,
         delay_ms: u64,
     ) {
-        self.forget_if_lapsed(now_ms);
-        self.forget_past_steps(now_ms);
+        self.clear_if_expired(now_ms);
+        self.drop_past_steps(now_ms);
         for step in &mut self.steps {
             step.weight_ppm = step.weight_ppm.min(weight_ppm);
         }
@@ -45,17 +46,17 @@
         self.valid_until_ms = self.valid_until_ms.max(valid_until_ms);
     }
 
-    /// Extends the validity, unless it has ended: another instance may have reclaimed the
-    /// weight since. Returns false if it has ended since the last renewal.
+    /// Extends the validity, unless it has ended, in which case another instance may have
+    /// reclaimed the weight. Returns false if it ended since the last renewal.
     pub fn renew(&mut self, now_ms: u64, valid_until_ms: u64) -> bool {
-        self.forget_if_lapsed(now_ms);
+        self.clear_if_expired(now_ms);
         if !self.steps.is_empty() {
             self.valid_until_ms = self.valid_until_ms.max(valid_until_ms);
         }
-        !std::mem::take(&mut self.lapsed)
+        !std::mem::take(&mut self.expired)
     }
 
-    /// The weight that counts at `at_ms`.
+    /// The weight in effect at `at_ms`.
     pub fn weight_at(&self, at_ms: u64) -> u32 {
         if at_ms >= self.valid_until_ms {
             return 0;
@@ -67,7 +68,8 @@
             .map_or(0, |step| step.weight_ppm)
     }
 
-    /// The time of the first change of weight after `after_ms`.
+    /// The time of the first change of the weight after `after_ms`, the end of the
+    /// validity included.
     pub fn next_change_ms(&self, after_ms: u64) -> Option<u64> {
         self.steps
             .iter()
@@ -77,19 +79,20 @@
             .min()
     }
 
-    /// The weight once all increases count.
+    /// The weight once all increases have taken effect.
     pub fn target_ppm(&self) -> u32 {
         self.steps.last().map_or(0, |step| step.weight_ppm)
     }
 
-    pub fn forget_if_lapsed(&mut self, now_ms: u64) {
+    /// Drops the weight if its validity has ended.
+    pub fn clear_if_expired(&mut self, now_ms: u64) {
         if now_ms >= self.valid_until_ms && !self.steps.is_empty() {
             self.steps.clear();
-            self.lapsed = true;
+            self.expired = true;
         }
     }
 
-    /// Makes at least this weight count at once.
+    /// Raises the weight in effect to at least `weight_ppm`.
     fn raise_to(&mut self, now_ms: u64, weight_ppm: u32) {
         let mut past = self.steps.iter().filter(|step| step.from_ms <= now_ms);
         let counts = past.any(|step| step.weight_ppm >= weight_ppm);
@@ -104,7 +107,8 @@
         self.steps.insert(0, step);
     }
 
-    fn forget_past_steps(&mut self, now_ms: u64) {
+    /// Drops the steps before the one in effect.
+    fn drop_past_steps(&mut self, now_ms: u64) {
         let past = self
             .steps
             .iter()
--- a/crates/quota/src/home_weights/absence.rs
+++ b/crates/quota/src/home_weights/absence.rs
@@ -1,4 +1,4 @@
-//! How long registrations have been absent from the store.
+//! Tracks for how long the owners of home weights have not been registered.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,18 +6,21 @@
 
 use crate::home_weights::HomeRecord;
 
-/// Longest time between two reads of the registrations. It is below the registration TTL
-/// of 10 s, so a registration that came and went cannot be missed between two reads.
+/// Longest time between two reads of the registrations that counts as uninterrupted. It
+/// is below the registration TTL of 10 s, so a registration that appeared and disappeared
+/// between two reads cannot be missed.
 const CONTACT_GAP_MS: u64 = 5_000;
 
-/// Time beyond the home term, for clock rate differences and for loans and calls that the
-/// owner granted or took at the end of its term.
+/// Time added to the home term before an entry may be reclaimed. It covers differences in
+/// clock rates, and loans and calls that the owner granted or took at the end of its
+/// term.
 const RECLAIM_MARGIN_MS: u64 = 60_000;
 
-/// Finds entries of the record whose owner has been unregistered beyond its home term.
+/// Finds entries of the home weight record whose owner has not been registered for longer
+/// than its home term.
 ///
-/// Only this instance's clock and its own reads count. A gap between reads begins the
-/// count again.
+/// Uses only this instance's clock and its own reads of the store. A gap between reads
+/// restarts the count.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct AbsenceTracker {
     contact_gap_ms: u64,
@@ -33,9 +36,9 @@
 }
 
 impl AbsenceTracker {
-    /// A tracker with other limits than the defaults: the longest time between two reads,
-    /// which must be below the registration TTL, and the time beyond the home term, which
-    /// must cover one loan term with its margin.
+    /// Creates a tracker with other limits than the defaults. `contact_gap_ms` is the
+    /// longest time between two reads and must be below the registration TTL. `margin_ms`
+    /// is added to the home term and must cover one loan term with its margins.
     pub fn with_limits(contact_gap_ms: u64, margin_ms: u64) -> AbsenceTracker {
         AbsenceTracker {
             contact_gap_ms,
@@ -46,7 +49,7 @@
     }
 
     /// Records a read of the registrations that was sent at `now_ms`. Call it for each
-    /// successful read, with the newest record.
+    /// successful read, with the newest home weight record.
     pub fn observe(
         &mut self,
         now_ms: u64,
@@ -71,7 +74,7 @@
         self.absent_since_ms = absent;
     }
 
-    /// Owners that have been absent for the home term plus margin, as of the last read.
+    /// Owners that, as of the last read, have been absent for the home term plus margin.
     pub fn reclaimable(&self, home_term_ms: u64) -> BTreeSet<Incarnation> {
         let limit_ms = home_term_ms.saturating_add(self.margin_ms);
         let last_read_ms = self.last_read_ms.unwrap_or(0);
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,20 +1,23 @@
-//! Rate and burst of each customer across the fleet.
+//! Limits each customer's request rate and burst across the whole fleet.
 //!
-//! Each instance holds a part of every customer's contract: its home weight, less what it
-//! has lent, plus what it has borrowed. All parts are weights in parts per million of the
-//! contract, so a changed contract rescales loans together with home shares. At any time
-//! the weights in use by all instances sum to at most 1,000,000 for each customer. Rate,
-//! capacity and tokens of the instances therefore sum to at most the contract, and in any
-//! window of length T at most burst + rate × T requests are sent.
+//! A customer's contract is its rate and burst. Each instance holds a share of every
+//! contract: its home weight, which is stored in the home weight record, less what it has
+//! lent to other instances, plus what it has borrowed from them. All shares are weights
+//! in parts per million of the contract, so when a contract changes, loans are rescaled
+//! together with home weights.
 //!
-//! This crate does no I/O and reads no clock: each transition is passed `now_ms`, in
-//! milliseconds of the instance's monotonic clock.
+//! At any time the weights in use by all instances sum to at most 1,000,000 for each
+//! customer. Rate, capacity and tokens of the instances therefore sum to at most the
+//! contract, and in any window of length T at most burst + rate × T requests are sent.
+//!
+//! This crate does no I/O and reads no clock. Methods that depend on the time take
+//! `now_ms`, in milliseconds of the instance's monotonic clock.
 
 mod bucket;
+mod customer_quota;
 mod demand;
 mod home;
 pub mod home_weights;
-mod ledger;
 mod lending;
 mod loan;
 mod quota;
--- a/crates/quota/src/settings.rs
+++ b/crates/quota/src/settings.rs
@@ -1,27 +1,27 @@
-//! Settings of the quota.
+//! Periods and limits of the quota.
 
-/// Names and periods that the quota needs.
+/// The settings of a [`crate::Quota`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct QuotaSettings {
     /// The incarnation of this process, as text. Must differ for each process start.
     pub incarnation: String,
-    /// How long a loan lasts.
+    /// How long a borrower may use a loan, from the time of its request.
     pub loan_term_ms: u64,
-    /// Longest time between a decision to send a call and its first byte.
+    /// Longest time between the decision to send a call and its first byte.
     pub dispatch_deadline_ms: u64,
-    /// Allowance for differences in clock rate over one loan term.
+    /// Allowance for the difference of two clocks' rates over one loan term.
     pub clock_margin_ms: u64,
-    /// Shortest time between two loan requests for one customer.
+    /// Initial time between two loan requests for one customer.
     pub loan_interval_ms: u64,
     /// Longest time between two loan requests for one customer.
     pub loan_interval_max_ms: u64,
-    /// Requests without success after which the interval doubles. It should be at least
-    /// the number of peers that are asked in turn.
+    /// Number of unsuccessful requests after which the interval doubles. Should be at
+    /// least the number of peers, which are asked in turn.
     pub loan_attempts_per_step: u32,
 }
 
 impl QuotaSettings {
-    /// Default settings for a process.
+    /// Creates the default settings.
     pub fn new(incarnation: impl Into<String>) -> QuotaSettings {
         QuotaSettings {
             incarnation: incarnation.into(),
@@ -34,14 +34,15 @@
         }
     }
 
-    /// How long a call that was neither sent nor given back keeps its place in the
+    /// How long a call that was neither sent nor given back occupies capacity of the
     /// bucket.
     pub(crate) fn hold_ms(&self) -> u64 {
         self.dispatch_deadline_ms + self.clock_margin_ms
     }
 
-    /// How long a lender keeps a loan out of use. Longer than the term of the borrower,
-    /// whose last call may be sent one dispatch deadline after the term.
+    /// How long a lender does not use what it lent. Longer than the loan term, because
+    /// the borrower may still send its last call one dispatch deadline after the end of
+    /// the term.
     pub(crate) fn lent_ms(&self) -> u64 {
         self.loan_term_ms + self.dispatch_deadline_ms + self.clock_margin_ms
     }
--- a/crates/quota/tests/bucket.rs
+++ b/crates/quota/tests/bucket.rs
@@ -1,4 +1,4 @@
-//! Buckets and home weights of one instance.
+//! Token buckets and home weight of a single instance.
 
 mod support;
 
@@ -8,11 +8,14 @@
 use support::{WARM_MS, contracts, drain, key, tokens_mreq, warm, weight_ppm};
 use test_case::test_case;
 
-/// Loan term, dispatch deadline and clock margin of the defaults.
+/// Default loan term, dispatch deadline and clock margin: the delay of a home weight
+/// increase.
 const LENT_MS: u64 = 6_500;
+/// Default dispatch deadline and clock margin: the longest time that a call occupies
+/// capacity.
 const HOLD_MS: u64 = 1_500;
 
-/// Guards against a restart that gives the customer a second burst.
+/// Guards against a restart of an instance giving the customer a second burst.
 #[test]
 fn buckets_start_empty() {
     let mut quota = Quota::new(QuotaSettings::new("a.1"));
@@ -23,7 +26,7 @@
     assert_eq!(drain(&mut quota, WARM_MS + 2_000), 2);
 }
 
-/// Guards against rounding that loses or creates tokens over many small steps.
+/// Guards against rounding errors that add up over many small steps.
 #[test_case(1; "each millisecond")]
 #[test_case(7; "in steps of 7 ms")]
 #[test_case(70_000; "at once")]
@@ -41,18 +44,20 @@
     assert!((163..=164).contains(&gained_mreq), "{gained_mreq}");
 }
 
-/// Guards against use of an enlarged weight while a loan of an earlier holder runs.
+/// Guards against the use of additional weight while an earlier holder's loan of it may
+/// still run.
 #[test]
-fn an_increase_counts_after_the_longest_loan() {
+fn an_increase_takes_effect_after_the_longest_loan() {
     let mut quota = warm("a", 100_000, 1_000, 10_000);
     quota.set_home_weight(WARM_MS, 300_000, u64::MAX);
     assert_eq!(weight_ppm(&mut quota, WARM_MS + LENT_MS - 1), 100_000);
     assert_eq!(weight_ppm(&mut quota, WARM_MS + LENT_MS), 300_000);
 }
 
-/// Guards against a reduction that takes effect after the smaller weight was written.
+/// Guards against a reduction that takes effect only after the smaller weight was
+/// written, when another instance may already use the difference.
 #[test]
-fn a_decrease_counts_at_once_and_cancels_pending_increases() {
+fn a_decrease_takes_effect_at_once_and_cancels_pending_increases() {
     let mut quota = warm("a", 300_000, 1_000, 10_000);
     quota.set_home_weight(WARM_MS, 500_000, u64::MAX);
     quota.set_home_weight(WARM_MS + 1, 200_000, u64::MAX);
@@ -61,10 +66,10 @@
     assert_eq!(weight_ppm(&mut quota, WARM_MS + LENT_MS + 1), 200_000);
 }
 
-/// Guards against a settled weight that counts late, and against another one that counts
-/// at once or replaces an increase that waits.
+/// Guards against settled weight taking effect late, and against weight that is not
+/// settled taking effect at once or replacing an increase that is still pending.
 #[test]
-fn the_settled_part_of_an_increase_counts_at_once() {
+fn the_settled_part_of_an_increase_takes_effect_at_once() {
     let mut quota = Quota::new(QuotaSettings::new("a.1"));
     quota.set_customers(0, &contracts(1_000, 10_000));
     quota.set_settled_home_weight(0, 300_000, 100_000, u64::MAX);
@@ -79,9 +84,9 @@
     assert_eq!(weight_ppm(&mut quota, WARM_MS), 250_000);
 }
 
-/// Guards against use of a weight that another instance may have reclaimed.
+/// Guards against the use of a weight that another instance may have reclaimed.
 #[test]
-fn the_weight_ends_with_its_term_and_a_renewal_does_not_revive_it() {
+fn the_weight_ends_with_its_validity_and_a_renewal_does_not_restore_it() {
     let mut quota = Quota::new(QuotaSettings::new("a.1"));
     quota.set_customers(0, &contracts(1_000, 10_000));
     quota.set_home_weight(0, 500_000, 20_000);
@@ -98,9 +103,10 @@
     assert_eq!(weight_ppm(&mut quota, 40_000), 0);
 }
 
-/// Guards against calls that are sent late and join refilled tokens.
+/// Guards against a call that is sent late being followed by a bucket that was refilled
+/// before, which would exceed the burst.
 #[test]
-fn a_taken_call_occupies_its_place_until_it_is_sent() {
+fn a_taken_call_occupies_capacity_until_it_is_sent() {
     let mut quota = warm("a", 1_000_000, 10_000, 1_000);
     let key = key(&quota);
     assert_eq!(quota.take(WARM_MS, key), Take::Taken);
@@ -109,9 +115,9 @@
     assert_eq!(tokens_mreq(&mut quota, WARM_MS + 550), 500);
 }
 
-/// Guards against a place that stays occupied when the outcome was never reported.
+/// Guards against capacity that stays occupied by a call whose outcome is never reported.
 #[test]
-fn a_place_is_free_after_the_dispatch_deadline_and_margin() {
+fn occupied_capacity_is_free_after_the_dispatch_deadline_and_margin() {
     let mut quota = warm("a", 1_000_000, 10_000, 1_000);
     let key = key(&quota);
     assert_eq!(quota.take(WARM_MS, key), Take::Taken);
@@ -119,9 +125,9 @@
     assert_eq!(tokens_mreq(&mut quota, WARM_MS + HOLD_MS + 100), 1_000);
 }
 
-/// Guards against loss of the token of a call that was not sent.
+/// Guards against the loss of the token of a call that is not sent.
 #[test]
-fn a_token_is_given_back() {
+fn a_token_that_is_given_back_is_available_again() {
     let mut quota = warm("a", 1_000_000, 1_000, 2_000);
     let key = key(&quota);
     assert_eq!(quota.take(WARM_MS, key), Take::Taken);
@@ -129,10 +135,10 @@
     assert_eq!(tokens_mreq(&mut quota, WARM_MS), 2_000);
 }
 
-/// Guards against a late return that ends the place of a newer call, or whose token has
-/// accrued again since.
+/// Guards against a token that is given back after its hold expired: it would end the
+/// hold of a newer call, or add a token that has accrued again since.
 #[test]
-fn a_late_return_restores_nothing() {
+fn a_token_given_back_late_is_lost() {
     let mut quota = warm("a", 1_000_000, 1_000, 2_000);
     let key = key(&quota);
     assert_eq!(quota.take(WARM_MS, key), Take::Taken);
@@ -145,18 +151,23 @@
     assert_eq!(tokens_mreq(&mut quota, later_ms + 2_000), 1_000);
 }
 
-/// Guards against a wait that is promised although no wait suffices.
+/// Guards against reporting a wait time when no wait suffices.
 #[test_case(1_000_000, 500, 10_000, Some(2_000); "rate decides")]
 #[test_case(50_000, 500, 10_000, None; "capacity below one call")]
 #[test_case(1_000_000, 0, 10_000, None; "no rate")]
-fn the_wait_is_named(weight_ppm: u32, rate: u64, burst: u64, wait_ms: Option<u64>) {
+fn the_wait_time_is_reported(
+    weight_ppm: u32,
+    rate: u64,
+    burst: u64,
+    wait_ms: Option<u64>,
+) {
     let mut quota = warm("a", weight_ppm, rate, burst);
     drain(&mut quota, WARM_MS);
     let key = key(&quota);
     assert_eq!(quota.take(WARM_MS, key), Take::Short { wait_ms });
 }
 
-/// Guards against calls of a customer that was removed, and of an old key.
+/// Guards against calls of a customer that was removed, also if they use its old key.
 #[test]
 fn a_removed_customer_gets_nothing() {
     let mut quota = warm("a", 1_000_000, 1_000, 2_000);
@@ -166,9 +177,9 @@
     assert_eq!(quota.take(WARM_MS, key), Take::Short { wait_ms: None });
 }
 
-/// Guards against a bucket that keeps more than a lowered contract allows.
+/// Guards against a bucket that keeps more tokens than a lowered contract allows.
 #[test]
-fn a_lowered_contract_counts_at_once() {
+fn a_lowered_contract_takes_effect_at_once() {
     let mut quota = warm("a", 500_000, 1_000, 20_000);
     quota.set_customers(WARM_MS, &contracts(500, 4_000));
     assert_eq!(tokens_mreq(&mut quota, WARM_MS), 2_000);
--- a/crates/quota/tests/home_weights.rs
+++ b/crates/quota/tests/home_weights.rs
@@ -1,4 +1,4 @@
-//! The planner of the home weight record in fleets without faults. The searches in
+//! The planner of home weights in fleets without faults. The state space searches in
 //! crates/spec cover faults.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,6 +28,7 @@
 }
 
 impl Fleet {
+    /// A fleet of `count` instances that have agreed on their weights.
     fn of(count: usize) -> Fleet {
         let mut fleet = Fleet::default();
         for index in 0..count {
@@ -38,6 +39,8 @@
         fleet
     }
 
+    /// Starts a process, which replaces an earlier one of the same instance. `address`
+    /// tells whether it listens on the same addresses.
     fn start(&mut self, name: &str, number: u64, address: &str) {
         let instance = name.to_string();
         let owner = HomeOwner {
@@ -54,7 +57,7 @@
         self.instances.insert(name.to_string(), instance);
     }
 
-    fn view_step(&self, name: &str) -> HomeStep {
+    fn next_step(&self, name: &str) -> HomeStep {
         let instance = &self.instances[name];
         let live = self.instances.iter();
         let live = live.filter(|(name, _)| !self.leaving.contains(*name));
@@ -74,8 +77,9 @@
         })
     }
 
+    /// Carries out the next step of an instance. Returns false if it has nothing to do.
     fn step(&mut self, name: &str) -> bool {
-        match self.view_step(name) {
+        match self.next_step(name) {
             HomeStep::Wait => return false,
             HomeStep::Use { weight_ppm, .. } => {
                 self.instances.get_mut(name).expect("live").held_ppm = weight_ppm;
@@ -91,13 +95,13 @@
         let held: u64 = self
             .instances
             .values()
-            .map(|it| u64::from(it.held_ppm))
+            .map(|instance| u64::from(instance.held_ppm))
             .sum();
         assert!(held <= 1_000_000 && self.record.is_valid());
         true
     }
 
-    /// Lets all instances plan until nothing changes.
+    /// Carries out the steps of all instances until none has anything to do.
     fn settle(&mut self) {
         let names: Vec<String> = self.instances.keys().cloned().collect();
         for _ in 0..10_000 {
@@ -109,7 +113,7 @@
                 return;
             }
         }
-        panic!("the planners never agree");
+        panic!("the instances never stop changing the record");
     }
 
     fn held(&self) -> Vec<u32> {
@@ -120,7 +124,7 @@
     }
 }
 
-/// Guards against a fleet that leaves much of the contracts unused, or shares unevenly.
+/// Guards against a fleet that shares contracts unevenly or leaves much of them unused.
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(6)]
@@ -134,9 +138,9 @@
     assert!(held.iter().sum::<u32>() > 970_000, "{held:?}");
 }
 
-/// Guards against a newcomer that gets nothing.
+/// Guards against a new instance that gets too little weight.
 #[test]
-fn others_make_room_for_a_newcomer() {
+fn a_new_instance_gets_an_even_share() {
     let mut fleet = Fleet::of(6);
     fleet.start("new", 1, "same");
     fleet.settle();
@@ -152,13 +156,17 @@
     );
 }
 
-/// Guards against a write by each instance whenever one joins or leaves.
+/// Guards against every instance writing the record whenever one joins or leaves.
 #[test]
 fn a_change_in_a_large_fleet_causes_few_writes() {
     let mut fleet = Fleet::of(100);
     fleet.start("new", 1, "same");
     fleet.settle();
-    assert!(fleet.writes <= 30, "{} writes for a newcomer", fleet.writes);
+    assert!(
+        fleet.writes <= 30,
+        "{} writes for a new instance",
+        fleet.writes
+    );
     fleet.writes = 0;
     fleet.instances.get_mut("i007").expect("live").stopping = true;
     fleet.leaving.insert("i007".to_string());
@@ -167,7 +175,7 @@
     assert!(fleet.held().iter().sum::<u32>() > 970_000);
 }
 
-/// Guards against writes without cause.
+/// Guards against writes when an instance crashes, whose weight cannot be reclaimed yet.
 #[test]
 fn a_crash_causes_no_write() {
     let mut fleet = Fleet::of(7);
@@ -176,7 +184,8 @@
     assert_eq!(fleet.writes, 0);
 }
 
-/// Guards against a restarted instance that waits for its own old weight.
+/// Guards against a restarted instance that has to wait until the weight of its earlier
+/// process is reclaimed.
 #[test]
 fn a_process_on_the_same_addresses_adopts_the_weight() {
     let mut fleet = Fleet::of(7);
@@ -187,7 +196,7 @@
     assert_eq!(fleet.writes, 1);
 }
 
-/// Guards against two processes of one name that both use its weight.
+/// Guards against two processes with the same instance name that both use its weight.
 #[test]
 fn a_process_on_other_addresses_does_not_adopt_the_weight() {
     let mut fleet = Fleet::of(7);
@@ -196,14 +205,14 @@
     assert_eq!(fleet.instances["i003"].held_ppm, 0);
 }
 
-/// Guards against an old process that keeps its weight after another adopted it.
+/// Guards against an old process that uses its weight after a new one adopted it.
 #[test]
 fn a_replaced_process_stops_using_the_weight() {
     let mut fleet = Fleet::of(2);
     let entry = fleet.record.weights.get_mut("i000").expect("has a weight");
     entry.incarnation.number += 1;
     assert_eq!(
-        fleet.view_step("i000"),
+        fleet.next_step("i000"),
         HomeStep::Use {
             weight_ppm: 0,
             settled_ppm: 0
@@ -211,9 +220,10 @@
     );
 }
 
-/// Guards against weights that stay with the dead, and against many reclaimers at once.
+/// Guards against weight that stays assigned to dead instances, and against many
+/// instances reclaiming it at once.
 #[test]
-fn one_instance_reclaims_and_all_share() {
+fn one_instance_reclaims_and_all_share_the_weight() {
     let mut fleet = Fleet::of(7);
     let dead = fleet.instances.remove("i003").expect("live");
     fleet.reclaimable.insert(dead.owner.incarnation);
@@ -224,22 +234,24 @@
     let names: Vec<&String> = fleet.instances.keys().collect();
     let count = names
         .iter()
-        .filter(|name| reclaims(fleet.view_step(name)))
+        .filter(|name| reclaims(fleet.next_step(name)))
         .count();
     assert_eq!(count, 1);
     fleet.settle();
     assert!(fleet.held().iter().sum::<u32>() > 970_000);
 }
 
-/// Guards against a smaller weight that is written while more is lent or about to be sent.
+/// Guards against writing a smaller weight while more than that is lent or about to be
+/// sent.
 #[test]
-fn nothing_is_written_before_the_reduction_is_settled() {
+fn a_reduction_is_not_written_while_more_is_in_use() {
     let mut fleet = Fleet::of(1);
     fleet.start("new", 1, "same");
-    assert!(fleet.step("i000"), "reduces locally");
+    assert!(fleet.step("i000"), "reduces its use first");
     let instance = &fleet.instances["i000"];
     let live = fleet.instances.iter();
-    let live = live.map(|(name, it)| (name.clone(), it.owner.incarnation.clone()));
+    let live =
+        live.map(|(name, instance)| (name.clone(), instance.owner.incarnation.clone()));
     let view = HomeView {
         own: &instance.owner,
         record: &fleet.record,
@@ -255,8 +267,8 @@
     assert_eq!(plan(&view), HomeStep::Wait);
 }
 
-/// Guards against use of a weight that a delayed transaction may still take away, or that
-/// an own delayed write may still reduce.
+/// Guards against the use of a weight that another instance's delayed transaction may
+/// still take away, or that a delayed write of this process may still reduce.
 #[test]
 fn a_weight_is_used_only_after_the_last_own_write_is_visible() {
     let mut fleet = Fleet::of(1);
@@ -264,25 +276,25 @@
     instance.held_ppm = 0;
     instance.last_write_on = None;
     assert!(
-        matches!(fleet.view_step("i000"), HomeStep::Write { .. }),
+        matches!(fleet.next_step("i000"), HomeStep::Write { .. }),
         "not written"
     );
     let under_way = Some(fleet.revision);
     fleet.instances.get_mut("i000").expect("live").last_write_on = under_way;
     assert!(
-        matches!(fleet.view_step("i000"), HomeStep::Write { .. }),
-        "under way"
+        matches!(fleet.next_step("i000"), HomeStep::Write { .. }),
+        "a write is under way"
     );
     fleet.revision += 1;
     assert!(
-        matches!(fleet.view_step("i000"), HomeStep::Write { .. }),
-        "it failed"
+        matches!(fleet.next_step("i000"), HomeStep::Write { .. }),
+        "the write failed"
     );
     fleet.settle();
     assert_eq!(fleet.instances["i000"].held_ppm, 1_000_000);
 }
 
-/// Guards against use of a record that gives away more than the whole.
+/// Guards against the use of a record whose weights sum to more than the whole contract.
 #[test]
 fn nothing_of_an_invalid_record_is_used() {
     let mut fleet = Fleet::of(2);
@@ -293,7 +305,7 @@
         .expect("has a weight")
         .weight_ppm = 900_000;
     assert_eq!(
-        fleet.view_step("i000"),
+        fleet.next_step("i000"),
         HomeStep::Use {
             weight_ppm: 0,
             settled_ppm: 0
@@ -301,9 +313,9 @@
     );
 }
 
-/// Guards against a weight that is reclaimed while its owner may still use it.
+/// Guards against reclaiming a weight that its owner may still use.
 #[test]
-fn absence_counts_only_over_unbroken_reads() {
+fn absence_is_counted_only_over_uninterrupted_reads() {
     let fleet = Fleet::of(2);
     let owner = fleet.instances["i000"].owner.incarnation.clone();
     let none = BTreeMap::new();
@@ -327,10 +339,10 @@
     assert!(is_reclaimable(&tracker));
 }
 
-/// Guards against an entry that an operator cannot release, and against silent typing
-/// errors in its name.
+/// Guards against an entry that an operator cannot release, and against a mistyped
+/// instance name that is accepted without an error.
 #[test]
-fn an_operator_forgets_an_instance() {
+fn an_operator_removes_the_entry_of_an_instance() {
     let fleet = Fleet::of(2);
     let record = fleet.record.forget("i000").expect("has an entry");
     assert_eq!(record.weight_ppm("i000"), 0);
@@ -338,7 +350,8 @@
     assert_eq!(fleet.record.forget("i00"), None);
 }
 
-/// Guards against a newcomer that waits a loan term for weight that nobody can have lent.
+/// Guards against a new instance that waits one loan term for weight that nobody can have
+/// lent.
 #[test]
 fn weight_released_by_a_running_instance_is_settled() {
     let mut fleet = Fleet::of(1);
@@ -350,9 +363,9 @@
     assert_eq!(fleet.record.released_ppm, fleet.record.unassigned_ppm());
 }
 
-/// Guards against use at once of weight that a dead holder may have lent.
+/// Guards against the immediate use of weight that a dead holder may have lent.
 #[test]
-fn weight_of_a_forgotten_instance_is_not_settled() {
+fn weight_of_a_removed_instance_is_not_settled() {
     let mut fleet = Fleet::of(2);
     let before = fleet.record.weights["i000"].clone();
     let released_ppm = fleet.record.released_ppm;
@@ -366,8 +379,8 @@
     assert_eq!(fleet.record.released_ppm, 0);
 }
 
-/// Guards against use at once of weight that an earlier process may have lent, also after
-/// the new process has passed a part of it on.
+/// Guards against the immediate use of weight that an earlier process may have lent, even
+/// after the new process passed a part of it on.
 #[test]
 fn adopted_weight_is_not_settled() {
     let mut fleet = Fleet::of(1);
@@ -375,7 +388,7 @@
     assert!(fleet.step("i000"), "adopts");
     assert_eq!(fleet.record.weights["i000"].settled_ppm, 0);
     fleet.start("new", 1, "same");
-    assert!(fleet.step("i000"), "reduces locally");
+    assert!(fleet.step("i000"), "reduces its use first");
     assert!(fleet.step("i000"), "writes less");
     assert_eq!(fleet.record.weight_ppm("i000"), 450_000);
     assert_eq!(fleet.record.released_ppm, 0);
--- a/crates/quota/tests/loans.rs
+++ b/crates/quota/tests/loans.rs
@@ -7,33 +7,38 @@
 use jayreel_quota::{LoanGrant, LoanRequest, LoanReturn, Quota, Take};
 use support::{WARM_MS, contracts, drain, key, tokens_mreq, warm, weight_ppm};
 
-const TERM_MS: u64 = 5_000;
+/// Default loan term.
+const LOAN_TERM_MS: u64 = 5_000;
+/// Default loan term, dispatch deadline and clock margin: the time for which a lender
+/// does not use what it lent.
 const LENT_MS: u64 = 6_500;
 
-/// Two instances with half of the contract each; the first has spent its tokens.
-fn pair() -> (Quota, Quota) {
+/// A borrower without tokens and an idle lender, each with half of the contract.
+fn borrower_and_lender() -> (Quota, Quota) {
     let mut borrower = warm("a", 500_000, 10_000, 40_000);
     drain(&mut borrower, WARM_MS);
     (borrower, warm("b", 500_000, 10_000, 40_000))
 }
 
-fn ask(borrower: &mut Quota, now_ms: u64) -> LoanRequest {
+/// Tries to take a call, which must fail, and returns the resulting loan request.
+fn request_loan(borrower: &mut Quota, now_ms: u64) -> LoanRequest {
     let key = key(borrower);
     assert!(matches!(borrower.take(now_ms, key), Take::Short { .. }));
     borrower.loan_request(now_ms, key).expect("short")
 }
 
 fn borrow(borrower: &mut Quota, lender: &mut Quota, now_ms: u64) -> LoanGrant {
-    let request = ask(borrower, now_ms);
+    let request = request_loan(borrower, now_ms);
     let grant = lender.lend(now_ms, &request);
     assert!(borrower.receive(now_ms, grant.clone()));
     grant
 }
 
-/// Guards against idle shares while a customer is short elsewhere.
+/// Guards against shares that stay idle while the customer's calls wait at another
+/// instance.
 #[test]
-fn an_idle_lender_lends_nearly_all() {
-    let (mut borrower, mut lender) = pair();
+fn an_idle_lender_lends_almost_everything() {
+    let (mut borrower, mut lender) = borrower_and_lender();
     borrow(&mut borrower, &mut lender, WARM_MS);
     assert_eq!(weight_ppm(&mut borrower, WARM_MS), 975_000);
     assert_eq!(weight_ppm(&mut lender, WARM_MS), 25_000);
@@ -41,10 +46,10 @@
     assert_eq!(tokens_mreq(&mut lender, WARM_MS), 1_000);
 }
 
-/// Guards against a lender that gives away what its own calls need.
+/// Guards against a lender that lends what its own calls need.
 #[test]
 fn a_lender_keeps_its_demand_and_a_reserve() {
-    let (mut borrower, mut lender) = pair();
+    let (mut borrower, mut lender) = borrower_and_lender();
     let lender_key = key(&lender);
     for _ in 0..2 {
         assert_eq!(lender.take(WARM_MS, lender_key), Take::Taken);
@@ -55,16 +60,17 @@
     assert_eq!(weight_ppm(&mut lender, WARM_MS), 250_000);
 }
 
-/// Guards against shares that go back and forth between equally busy instances.
+/// Guards against weight that moves back and forth between equally busy instances.
 #[test]
-fn equally_busy_instances_exchange_nothing() {
-    let (mut borrower, mut lender) = pair();
+fn equally_busy_instances_lend_nothing() {
+    let (mut borrower, mut lender) = borrower_and_lender();
     drain(&mut lender, WARM_MS);
-    let request = ask(&mut borrower, WARM_MS);
+    let request = request_loan(&mut borrower, WARM_MS);
     assert_eq!(lender.lend(WARM_MS, &request).weight_ppm, 0);
 }
 
-/// Guards against a busy instance that keeps most of the contract to itself.
+/// Guards against a busy instance that keeps most of the contract while another one is
+/// busy too.
 #[test]
 fn two_busy_instances_share_evenly() {
     let mut borrower = warm("a", 200_000, 10_000, 40_000);
@@ -75,54 +81,58 @@
         let now_ms = WARM_MS + step * 20;
         drain(&mut lender, now_ms);
         drain(&mut borrower, now_ms);
-        let request = ask(&mut borrower, now_ms);
+        let request = request_loan(&mut borrower, now_ms);
         borrower.receive(now_ms, lender.lend(now_ms, &request));
     }
     let lender_ppm = weight_ppm(&mut lender, WARM_MS + 120);
     assert!((470_000..=530_000).contains(&lender_ppm), "{lender_ppm}");
 }
 
-/// Guards against a borrower that uses a loan for longer than its lender allows.
+/// Guards against a borrower that uses a loan after the lender uses it again.
 #[test]
-fn the_borrower_stops_before_the_lender_resumes() {
-    let (mut borrower, mut lender) = pair();
-    let request = ask(&mut borrower, WARM_MS);
+fn the_borrower_stops_using_a_loan_before_the_lender_resumes() {
+    let (mut borrower, mut lender) = borrower_and_lender();
+    let request = request_loan(&mut borrower, WARM_MS);
     let granted_ms = WARM_MS + 300;
     let grant = lender.lend(granted_ms, &request);
     assert!(borrower.receive(WARM_MS + 600, grant));
-    assert_eq!(weight_ppm(&mut borrower, WARM_MS + TERM_MS - 1), 975_000);
-    assert_eq!(weight_ppm(&mut borrower, WARM_MS + TERM_MS), 500_000);
+    assert_eq!(
+        weight_ppm(&mut borrower, WARM_MS + LOAN_TERM_MS - 1),
+        975_000
+    );
+    assert_eq!(weight_ppm(&mut borrower, WARM_MS + LOAN_TERM_MS), 500_000);
     assert_eq!(weight_ppm(&mut lender, granted_ms + LENT_MS - 1), 25_000);
     assert_eq!(weight_ppm(&mut lender, granted_ms + LENT_MS), 500_000);
 }
 
-/// Guards against tokens that a paused borrower accrues with a loan that has ended.
+/// Guards against a paused borrower that accrues tokens for a loan after its end.
 #[test]
-fn a_paused_borrower_accrues_the_loan_only_until_its_end() {
+fn a_paused_borrower_accrues_tokens_of_a_loan_only_until_its_end() {
     let mut borrower = warm("a", 500_000, 1_000, 40_000);
     let mut lender = warm("b", 500_000, 1_000, 40_000);
     drain(&mut borrower, WARM_MS);
     borrow(&mut borrower, &mut lender, WARM_MS);
     let share_ppm = u64::from(weight_ppm(&mut borrower, WARM_MS));
     drain(&mut borrower, WARM_MS);
-    let expected_mreq = share_ppm * TERM_MS / 1_000_000 + 2_500;
+    let expected_mreq = share_ppm * LOAN_TERM_MS / 1_000_000 + 2_500;
     assert_eq!(tokens_mreq(&mut borrower, WARM_MS + 10_000), expected_mreq);
 }
 
-/// Guards against tokens that exist twice after a loan.
+/// Guards against tokens that exist at both instances after a loan.
 #[test]
 fn a_lender_regains_no_tokens() {
-    let (mut borrower, mut lender) = pair();
+    let (mut borrower, mut lender) = borrower_and_lender();
     borrow(&mut borrower, &mut lender, WARM_MS);
     drain(&mut lender, WARM_MS);
     // Its reserve accrues 0.25 requests per second until then.
     assert_eq!(tokens_mreq(&mut lender, WARM_MS + LENT_MS), 1_000);
 }
 
-/// Guards against a loan that is used twice because its grant arrived twice.
+/// Guards against the use of a grant that arrives twice, after the loan's end, or at a
+/// process that did not ask for it.
 #[test]
 fn duplicate_late_and_foreign_grants_are_ignored() {
-    let (mut borrower, mut lender) = pair();
+    let (mut borrower, mut lender) = borrower_and_lender();
     let grant = borrow(&mut borrower, &mut lender, WARM_MS);
     assert!(!borrower.receive(WARM_MS, grant.clone()), "duplicate");
     let mut restarted = warm("a", 500_000, 10_000, 40_000);
@@ -131,27 +141,27 @@
         "not asked for by this process"
     );
     drain(&mut borrower, WARM_MS + 20);
-    let request = ask(&mut borrower, WARM_MS + 20);
+    let request = request_loan(&mut borrower, WARM_MS + 20);
     let late = LoanGrant {
         weight_ppm: 1,
         ..lender.lend(WARM_MS + 20, &request)
     };
-    assert!(!borrower.receive(WARM_MS + 20 + TERM_MS, late), "late");
+    assert!(!borrower.receive(WARM_MS + 20 + LOAN_TERM_MS, late), "late");
 }
 
-/// Guards against a second loan for a request that arrived twice.
+/// Guards against a second loan for a request that arrives twice.
 #[test]
 fn a_duplicate_request_gets_the_same_loan() {
-    let (mut borrower, mut lender) = pair();
-    let request = ask(&mut borrower, WARM_MS);
+    let (mut borrower, mut lender) = borrower_and_lender();
+    let request = request_loan(&mut borrower, WARM_MS);
     let grant = lender.lend(WARM_MS, &request);
     assert_eq!(lender.lend(WARM_MS + 10, &request), grant);
     assert_eq!(weight_ppm(&mut lender, WARM_MS + 10), 25_000);
 }
 
-/// Guards against requests that flood peers that have nothing to lend.
+/// Guards against a flood of requests to peers that have nothing to lend.
 #[test]
-fn requests_back_off_up_to_two_seconds() {
+fn loan_requests_back_off_up_to_two_seconds() {
     let mut borrower = warm("a", 0, 10_000, 40_000);
     let key = key(&borrower);
     let mut sent_ms = Vec::new();
@@ -168,9 +178,9 @@
     assert_eq!(longest_ms, Some(2_000));
 }
 
-/// Guards against requests without need.
+/// Guards against requests while the instance's own share suffices.
 #[test]
-fn nothing_is_requested_while_tokens_suffice() {
+fn no_loan_is_requested_while_tokens_suffice() {
     let mut quota = warm("a", 500_000, 10_000, 40_000);
     let key = key(&quota);
     assert_eq!(quota.loan_request(WARM_MS, key), None);
@@ -178,10 +188,10 @@
     assert_eq!(quota.loan_request(WARM_MS, key), None);
 }
 
-/// Guards against a smaller weight that is written while loans or calls exceed it.
+/// Guards against writing a smaller home weight while loans or unsent calls exceed it.
 #[test]
-fn a_reduced_weight_is_not_settled_while_more_is_lent() {
-    let (mut borrower, mut lender) = pair();
+fn a_reduced_weight_may_not_be_written_while_more_is_lent() {
+    let (mut borrower, mut lender) = borrower_and_lender();
     borrow(&mut borrower, &mut lender, WARM_MS);
     lender.set_home_weight(WARM_MS, 300_000, u64::MAX);
     assert!(!lender.is_within_home_weight(WARM_MS + LENT_MS - 1));
@@ -198,11 +208,11 @@
     assert!(lender.is_within_home_weight(now_ms));
 }
 
-/// Guards against shares that stay idle after a planned stop, and against a return that
-/// counts twice.
+/// Guards against borrowed weight that stays unused after a planned stop, and against a
+/// return that takes effect twice.
 #[test]
 fn a_planned_stop_returns_loans_once() {
-    let (mut borrower, mut lender) = pair();
+    let (mut borrower, mut lender) = borrower_and_lender();
     let grant = borrow(&mut borrower, &mut lender, WARM_MS);
     let returned = borrower.return_loans(WARM_MS + 10);
     assert_eq!(returned.len(), 1);
@@ -220,9 +230,10 @@
     assert_eq!(borrower.loan_request(WARM_MS + 40, key), None, "stopping");
 }
 
-/// Guards against a return while a call that needs the loan may still be sent.
+/// Guards against the return of a loan while a call that was admitted with it may still
+/// be sent.
 #[test]
-fn a_loan_under_a_call_that_is_not_sent_is_kept() {
+fn a_loan_is_kept_while_an_unsent_call_needs_it() {
     let mut borrower = warm("a", 0, 10_000, 40_000);
     let mut lender = warm("b", 1_000_000, 10_000, 40_000);
     borrow(&mut borrower, &mut lender, WARM_MS);
@@ -233,21 +244,23 @@
     assert_eq!(borrower.return_loans(WARM_MS).len(), 1);
 }
 
-/// Guards against a removed and re-created customer whose loans are forgotten.
+/// Guards against a lender that uses lent weight after the customer was removed and added
+/// again.
 #[test]
 fn loans_outlive_the_removal_of_a_customer() {
-    let (mut borrower, mut lender) = pair();
+    let (mut borrower, mut lender) = borrower_and_lender();
     borrow(&mut borrower, &mut lender, WARM_MS);
     lender.set_customers(WARM_MS, &BTreeMap::new());
     lender.set_customers(WARM_MS + 1, &contracts(10_000, 40_000));
     assert_eq!(weight_ppm(&mut lender, WARM_MS + 1), 25_000);
 }
 
-/// Regression: tokens that were counted under a larger contract exceeded the lowered one.
+/// Regression test: tokens that the lender had counted under a larger contract exceeded
+/// the lowered contract of the borrower.
 #[test]
-fn tokens_of_a_grant_are_clipped_to_the_borrowers_contract() {
-    let (mut borrower, mut lender) = pair();
-    let request = ask(&mut borrower, WARM_MS);
+fn tokens_of_a_grant_are_limited_to_the_borrowers_contract() {
+    let (mut borrower, mut lender) = borrower_and_lender();
+    let request = request_loan(&mut borrower, WARM_MS);
     let grant = lender.lend(WARM_MS, &request);
     assert_eq!(grant.tokens_mreq, 19_000);
     borrower.set_customers(WARM_MS, &contracts(10_000, 4_000));
@@ -255,11 +268,12 @@
     assert_eq!(tokens_mreq(&mut borrower, WARM_MS), 1_900);
 }
 
-/// Guards against messages that a peer of another version misreads silently.
+/// Guards against format changes that a peer of another version would misread without an
+/// error.
 #[test]
-fn messages_keep_their_form() {
-    let (mut borrower, mut lender) = pair();
-    let request = ask(&mut borrower, WARM_MS);
+fn the_message_format_is_stable() {
+    let (mut borrower, mut lender) = borrower_and_lender();
+    let request = request_loan(&mut borrower, WARM_MS);
     let grant = lender.lend(WARM_MS, &request);
     let text = serde_json::to_string(&grant).expect("serializes");
     let expected = concat!(
--- a/crates/quota/tests/properties.rs
+++ b/crates/quota/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Random sequences of events at three instances.
+//! Random sequences of calls, loans, lost and repeated messages, and restarts in a fleet
+//! of three instances.
 
 mod support;
 
@@ -36,10 +37,13 @@
 struct Fleet {
     now_ms: u64,
     quotas: Vec<Quota>,
+    /// Number of restarts, which also numbers the incarnations.
     starts: u64,
-    /// Times of calls that are taken and not sent.
+    /// For each instance, the times of calls that were taken and are not sent.
     unsent: Vec<Vec<u64>>,
+    /// Messages under way, with the index of their receiver.
     messages: Vec<(usize, Message)>,
+    /// Times at which calls were sent.
     sent_ms: Vec<u64>,
 }
 
@@ -50,7 +54,7 @@
     quota
 }
 
-fn index_of(incarnation: &str) -> usize {
+fn instance_index(incarnation: &str) -> usize {
     usize::from(incarnation.as_bytes()[0] - b'0')
 }
 
@@ -111,7 +115,7 @@
 
     fn post_returns(&mut self, returns: Vec<LoanReturn>) {
         for returned in returns {
-            let lender = index_of(&returned.lender);
+            let lender = instance_index(&returned.lender);
             self.messages.push((lender, Message::Return(returned)));
         }
     }
@@ -141,7 +145,7 @@
         let (now_ms, quota) = (self.now_ms, &mut self.quotas[to]);
         match message {
             Message::Request(request) => {
-                let borrower = index_of(&request.id.borrower);
+                let borrower = instance_index(&request.id.borrower);
                 let grant = quota.lend(now_ms, &request);
                 self.messages.push((borrower, Message::Grant(grant)));
             }
@@ -154,14 +158,15 @@
         }
     }
 
-    /// Weights in use by all instances.
+    /// Sum of the weights in use by all instances.
     fn weight_ppm(&mut self) -> u32 {
         let now_ms = self.now_ms;
         let quotas = self.quotas.iter_mut();
         quotas.map(|quota| support::weight_ppm(quota, now_ms)).sum()
     }
 
-    /// The most calls beyond the rate in any window, in microrequests.
+    /// The largest number of calls beyond rate × T in any window of length T, in
+    /// microrequests.
     fn excess_ureq(&self) -> u64 {
         let mut excess_ureq: u64 = 0;
         let mut most_ureq = 0;
@@ -205,10 +210,11 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Guards against any order of events in which a customer gets more than
-    /// burst + rate × T, or the shares sum to more than the contract.
+    /// Guards against any order of events in which a customer sends more than burst +
+    /// rate × T calls in a window of length T, or the weights in use sum to more than the
+    /// contract.
     #[test]
-    fn no_excess(events in prop::collection::vec(event(), 1..300)) {
+    fn no_customer_exceeds_its_contract(events in prop::collection::vec(event(), 1..300)) {
         let mut fleet = Fleet::new();
         for event in events {
             fleet.apply(event);
@@ -217,10 +223,10 @@
         prop_assert!(fleet.excess_ureq() <= BURST_MREQ * 1_000);
     }
 
-    /// Guards against a process that gains by looking at its clock rarely: it must hold
-    /// what it would hold had it looked all the time.
+    /// Guards against a paused process that gains tokens: after the pause its state must
+    /// be the same as if it had been updated all the time.
     #[test]
-    fn a_pause_changes_nothing(steps in prop::collection::vec(1..3_000u64, 1..20)) {
+    fn a_pause_does_not_change_the_resulting_state(steps in prop::collection::vec(1..3_000u64, 1..20)) {
         let (mut fleet, mut paused) = (Fleet::new(), Fleet::new());
         for fleet in [&mut fleet, &mut paused] {
             for _ in 0..9 {
