--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,11 @@
-//! Which instances are alive, as one instance sees it.
+//! Tracks which other instances are alive, from the view of one instance.
 //!
 //! Heartbeats tell which peers answer; registrations in the store tell which processes
-//! exist. Silence affects only where work is sent: a silent peer keeps its programs and
-//! its shares until the store says that it is gone.
+//! exist. A peer that does not answer only gets no new work. It keeps its programs and
+//! its shares of the customers' contracts until its registration is gone from the store.
+//!
+//! This crate does no I/O and reads no clock. Methods that depend on the time take
+//! `now_ms`, in milliseconds of the instance's monotonic clock.
 
 mod heartbeat;
 mod liveness;
--- a/crates/membership/src/liveness.rs
+++ b/crates/membership/src/liveness.rs
@@ -1,95 +1,101 @@
-//! The liveness of one peer, with damping of peers that come and go.
+//! The liveness of one peer by its heartbeats, with damping for peers that flap between
+//! answering and not answering.
 
 use crate::heartbeat::InstanceState;
 
-/// A peer without an answer for this long gets no new forwards.
+/// Silence after which a peer is suspect and gets no new forwarded calls.
 pub(crate) const SUSPECT_AFTER_MS: u64 = 2_000;
 
-/// A peer without an answer for this long counts as dead for routing.
+/// Silence after which a peer counts as dead for routing.
 pub(crate) const DEAD_AFTER_MS: u64 = 10_000;
 
-/// Answers in a row that end a first suspicion.
-const FIRST_ANSWERS_NEEDED: u32 = 2;
+/// Consecutive answers that end a suspicion if the peer is not flapping.
+const INITIAL_ANSWERS_NEEDED: u32 = 2;
 
-/// Most answers in a row that are asked for.
+/// Upper limit of the number of consecutive answers required.
 const MAX_ANSWERS_NEEDED: u32 = 16;
 
-/// A return within this time after the last one doubles the answers needed.
+/// A peer that returns from a silence within this time after its last recovery is
+/// flapping. It then needs twice as many answers as the last time.
 const FLAP_WINDOW_MS: u64 = 60_000;
 
-/// How a peer is to be treated.
+/// How to treat a peer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Liveness {
-    /// Answers.
+    /// Answers heartbeats and may get new work.
     Alive,
-    /// Has not answered for 10 s. Says nothing about its programs or shares.
+    /// Has not answered for 10 s. It may still exist and own programs and shares.
     Dead,
-    /// Answers and has announced a planned stop, or is listed as leaving.
+    /// Answers heartbeats, but has announced a planned stop or is listed as leaving.
     Leaving,
-    /// Has not answered for 2 s, or returned too recently.
+    /// Has not answered for 2 s, or answers again but not often enough yet.
     Suspect,
 }
 
-/// The answers of one process.
+/// The heartbeat history of one process.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerHealth {
-    heard_at_ms: u64,
+    last_heard_ms: u64,
     state: InstanceState,
-    /// Answers still needed to end a suspicion. 0: not suspected.
-    answers_missing: u32,
+    /// Answers still needed to end the suspicion. 0 if the peer is not suspect. A new
+    /// silence after the last answer is not reflected here until the next answer.
+    answers_remaining: u32,
     answers_needed: u32,
-    returned_at_ms: Option<u64>,
+    recovered_at_ms: Option<u64>,
 }
 
 impl PeerHealth {
-    /// A peer that was registered at `now_ms` and has until the next deadline to answer.
+    /// Creates the history of a peer that became known at `now_ms`. It is alive until it
+    /// has been silent for [`SUSPECT_AFTER_MS`].
     pub(crate) fn new(now_ms: u64) -> PeerHealth {
         PeerHealth {
-            heard_at_ms: now_ms,
+            last_heard_ms: now_ms,
             state: InstanceState::Starting,
-            answers_missing: 0,
-            answers_needed: FIRST_ANSWERS_NEEDED,
-            returned_at_ms: None,
+            answers_remaining: 0,
+            answers_needed: INITIAL_ANSWERS_NEEDED,
+            recovered_at_ms: None,
         }
     }
 
-    /// Takes note of a heartbeat or an answer to one.
-    pub(crate) fn heard(&mut self, now_ms: u64, state: InstanceState) {
-        if now_ms.saturating_sub(self.heard_at_ms) >= SUSPECT_AFTER_MS {
-            self.begin_return(now_ms);
+    /// Records a heartbeat or an answer to one.
+    pub(crate) fn record_heartbeat(&mut self, now_ms: u64, state: InstanceState) {
+        if now_ms.saturating_sub(self.last_heard_ms) >= SUSPECT_AFTER_MS {
+            self.begin_recovery(now_ms);
         }
-        self.heard_at_ms = self.heard_at_ms.max(now_ms);
+        self.last_heard_ms = self.last_heard_ms.max(now_ms);
         self.state = state;
-        if self.answers_missing > 0 {
-            self.answers_missing -= 1;
-            if self.answers_missing == 0 {
-                self.returned(now_ms);
+        if self.answers_remaining > 0 {
+            self.answers_remaining -= 1;
+            if self.answers_remaining == 0 {
+                self.complete_recovery(now_ms);
             }
         }
     }
 
-    /// Sets how many answers in a row are needed from now on.
-    fn begin_return(&mut self, now_ms: u64) {
-        let flaps = self
-            .returned_at_ms
+    /// Starts counting the consecutive answers that the peer needs after a silence.
+    fn begin_recovery(&mut self, now_ms: u64) {
+        let is_flapping = self
+            .recovered_at_ms
             .is_some_and(|at_ms| now_ms.saturating_sub(at_ms) < FLAP_WINDOW_MS);
-        if !flaps {
-            self.answers_needed = FIRST_ANSWERS_NEEDED;
+        if !is_flapping {
+            self.answers_needed = INITIAL_ANSWERS_NEEDED;
         }
-        self.answers_missing = self.answers_needed;
+        self.answers_remaining = self.answers_needed;
     }
 
-    fn returned(&mut self, now_ms: u64) {
+    /// Ends the suspicion and doubles the number of answers for the next one, in case the
+    /// peer is flapping.
+    fn complete_recovery(&mut self, now_ms: u64) {
         self.answers_needed = (self.answers_needed * 2).min(MAX_ANSWERS_NEEDED);
-        self.returned_at_ms = Some(now_ms);
+        self.recovered_at_ms = Some(now_ms);
     }
 
     pub(crate) fn liveness(&self, now_ms: u64) -> Liveness {
-        let silent_ms = now_ms.saturating_sub(self.heard_at_ms);
+        let silent_ms = now_ms.saturating_sub(self.last_heard_ms);
         match self.state {
             _ if silent_ms >= DEAD_AFTER_MS => Liveness::Dead,
             _ if silent_ms >= SUSPECT_AFTER_MS => Liveness::Suspect,
-            _ if self.answers_missing > 0 => Liveness::Suspect,
+            _ if self.answers_remaining > 0 => Liveness::Suspect,
             InstanceState::Leaving => Liveness::Leaving,
             InstanceState::Serving | InstanceState::Starting => Liveness::Alive,
         }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The peers of one instance.
+//! The table of an instance's peers, from heartbeats and registrations.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,21 +19,21 @@
     config_revision: u64,
 }
 
-/// The peers of one instance.
+/// The peers that one instance knows, and how to treat them.
 #[derive(Clone, Debug)]
 pub struct Membership {
     own: Incarnation,
     availability_zone: String,
-    /// By instance name. Does not hold the own instance.
+    /// Peers by instance name, without this instance.
     peers: BTreeMap<String, Peer>,
     registrations: Registrations,
-    /// Names of leaving instances, by the platform's list.
+    /// Names of the instances that the platform lists as leaving.
     listed_leaving: BTreeSet<String>,
     next_heartbeat_ms: u64,
 }
 
 impl Membership {
-    /// An instance that knows no peers.
+    /// Creates the table of an instance that knows no peers yet.
     pub fn new(own: Incarnation, availability_zone: impl Into<String>) -> Membership {
         Membership {
             own,
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Takes note of the registered processes with their zones, as read from the store by
-    /// a request sent at `sent_at_ms`.
+    /// Records the registered processes with their availability zones, as read from the
+    /// store by a request that was sent at `sent_at_ms`.
     pub fn record_registrations(
         &mut self,
         now_ms: u64,
@@ -59,15 +59,15 @@
             .collect();
         self.registrations.read(sent_at_ms, present);
         for (incarnation, zone) in registered {
-            self.add(now_ms, incarnation, zone);
+            self.add_peer(now_ms, incarnation, zone);
         }
-        self.forget_gone(now_ms);
+        self.remove_gone_peers(now_ms);
     }
 
-    /// Forgets processes that are neither registered nor heard of. One that still answers
-    /// stays, because the store may have lost its registration in an outage, or it started
-    /// during the outage.
-    fn forget_gone(&mut self, now_ms: u64) {
+    /// Removes peers that are neither registered nor answering. A peer that answers
+    /// stays, because the store may have lost its registration in an outage, or it may
+    /// have started during the outage.
+    fn remove_gone_peers(&mut self, now_ms: u64) {
         let present = self.registrations.present();
         self.peers.retain(|name, peer| {
             present.get(name) == Some(&peer.incarnation)
@@ -75,38 +75,40 @@
         });
     }
 
-    /// Takes note of a heartbeat, or of an answer to one.
+    /// Records a heartbeat or an answer to one.
     pub fn record_heartbeat(&mut self, now_ms: u64, heartbeat: &Heartbeat) {
         let incarnation = &heartbeat.incarnation;
-        self.add(now_ms, incarnation, &heartbeat.availability_zone);
+        self.add_peer(now_ms, incarnation, &heartbeat.availability_zone);
         match self.peers.get_mut(&incarnation.instance) {
             Some(peer) if peer.incarnation == *incarnation => {
-                peer.health.heard(now_ms, heartbeat.state);
+                peer.health.record_heartbeat(now_ms, heartbeat.state);
                 peer.config_revision =
                     peer.config_revision.max(heartbeat.config_revision);
             }
-            // What another process of the name says does not tell that this one lives.
+            // A heartbeat of another process with the same name is no sign of life of the
+            // known one.
             _ => {}
         }
     }
 
-    /// Takes over the platform's list of leaving instances. The list lags, so it only adds
-    /// to what the instances say themselves.
+    /// Replaces the platform's list of leaving instances. The list lags behind, so it
+    /// only adds to what the instances announce themselves.
     pub fn set_listed_leaving(&mut self, names: BTreeSet<String>) {
         self.listed_leaving = names;
     }
 
-    /// The peers to send a heartbeat to, if it is time for the next ones.
+    /// The names of the peers to send a heartbeat to now. Empty until the heartbeat
+    /// interval is over.
     pub fn due_heartbeats(&mut self, now_ms: u64) -> Vec<String> {
         if now_ms < self.next_heartbeat_ms {
             return Vec::new();
         }
         self.next_heartbeat_ms = now_ms + HEARTBEAT_INTERVAL_MS;
-        self.forget_gone(now_ms);
+        self.remove_gone_peers(now_ms);
         self.peers.keys().cloned().collect()
     }
 
-    /// How a process is to be treated. One that is not known counts as dead.
+    /// How to treat a process. An unknown one counts as dead.
     pub fn liveness(&self, now_ms: u64, incarnation: &Incarnation) -> Liveness {
         if *incarnation == self.own {
             return Liveness::Alive;
@@ -119,12 +121,12 @@
         }
     }
 
-    /// Names of all peers, whether they answer or not.
+    /// Names of all known peers, whether they answer or not.
     pub fn known_peers(&self) -> Vec<String> {
         self.peers.keys().cloned().collect()
     }
 
-    /// Names of live peers, those of the own availability zone first.
+    /// Names of the live peers, those in this instance's availability zone first.
     pub fn live_peers(&self, now_ms: u64) -> Vec<String> {
         let alive = |peer: &&Peer| self.peer_liveness(now_ms, peer) == Liveness::Alive;
         let live: Vec<&Peer> = self.peers.values().filter(alive).collect();
@@ -137,9 +139,10 @@
             .collect()
     }
 
-    /// Names of live and registered instances of an availability zone, this one included.
-    /// All of them if there is none in the zone. An instance that is not registered may
-    /// have no view of the registrations, so nothing is left to its care.
+    /// Names of the live and registered instances in an availability zone, this one
+    /// included. If there are none in the zone, those of all zones. An instance that is
+    /// not registered may have no view of the registrations and then does not look after
+    /// any engine, so it is left out.
     pub fn live_in_zone(&self, now_ms: u64, availability_zone: &str) -> Vec<String> {
         let present = self.registrations.present();
         let alive = |peer: &&Peer| self.peer_liveness(now_ms, peer) == Liveness::Alive;
@@ -153,14 +156,20 @@
             .chain([own])
             .collect();
         let near = all.iter().filter(|(_, zone)| *zone == availability_zone);
-        let near: Vec<String> = near.map(|(one, _)| one.instance.clone()).collect();
+        let near: Vec<String> = near
+            .map(|(incarnation, _)| incarnation.instance.clone())
+            .collect();
         match near.is_empty() {
-            true => all.iter().map(|(one, _)| one.instance.clone()).collect(),
+            true => all
+                .iter()
+                .map(|(incarnation, _)| incarnation.instance.clone())
+                .collect(),
             false => near,
         }
     }
 
-    /// Number of live instances and the position of this one among their sorted names.
+    /// The number of live instances, this one included, and the position of this one
+    /// among their sorted names, from 0.
     pub fn position(&self, now_ms: u64) -> (u32, u32) {
         let peers = self.live_peers(now_ms);
         let own = &self.own.instance;
@@ -172,7 +181,7 @@
         )
     }
 
-    /// The current process of an instance.
+    /// The known process of an instance. `None` if the instance is unknown.
     pub fn incarnation(&self, instance: &str) -> Option<&Incarnation> {
         match self.peers.get(instance) {
             _ if instance == self.own.instance => Some(&self.own),
@@ -180,7 +189,7 @@
         }
     }
 
-    /// All peers with their liveness and configuration revision, by name.
+    /// All known peers with their liveness and configuration revision, ordered by name.
     pub fn peers(&self, now_ms: u64) -> Vec<(Incarnation, Liveness, u64)> {
         self.peers
             .values()
@@ -191,7 +200,8 @@
             .collect()
     }
 
-    /// The highest configuration revision that a peer has told, 0 without peers.
+    /// The highest configuration revision that a known peer has reported, 0 without
+    /// peers.
     pub fn newest_revision(&self) -> u64 {
         let revisions = self.peers.values().map(|peer| peer.config_revision);
         revisions.max().unwrap_or(0)
@@ -202,13 +212,15 @@
         &self.registrations
     }
 
-    fn add(&mut self, now_ms: u64, incarnation: &Incarnation, zone: &str) {
+    /// Adds a process as a peer unless it is known. A known process of the same instance
+    /// is replaced only if [`Membership::may_replace`] allows it.
+    fn add_peer(&mut self, now_ms: u64, incarnation: &Incarnation, zone: &str) {
         if incarnation.instance == self.own.instance {
             return;
         }
         match self.peers.get(&incarnation.instance) {
             Some(peer) if peer.incarnation == *incarnation => return,
-            Some(peer) if !self.may_follow(now_ms, peer, incarnation) => return,
+            Some(peer) if !self.may_replace(now_ms, peer, incarnation) => return,
             _ => {}
         }
         let peer = Peer {
@@ -220,12 +232,12 @@
         self.peers.insert(incarnation.instance.clone(), peer);
     }
 
-    /// Whether a process may take the place of a known one of the same name.
+    /// Whether a process may replace a known one with the same instance name.
     ///
-    /// Another one than the registered process is one that was replaced and whose message
-    /// is late, or has the name by mistake. While the registrations cannot be read it may
-    /// also be the successor of a registered process that is dead.
-    fn may_follow(&self, now_ms: u64, known: &Peer, incarnation: &Incarnation) -> bool {
+    /// A process other than the registered one was either replaced and its message is
+    /// late, or it uses the name by mistake. While the registrations cannot be read, it
+    /// may also be the successor of a registered process that is dead.
+    fn may_replace(&self, now_ms: u64, known: &Peer, incarnation: &Incarnation) -> bool {
         let registered = self.registrations.present().get(&incarnation.instance);
         match registered {
             Some(registered) if registered != incarnation => {
@@ -236,6 +248,8 @@
         }
     }
 
+    /// The liveness of a peer with the platform's list of leaving instances taken into
+    /// account.
     fn peer_liveness(&self, now_ms: u64, peer: &Peer) -> Liveness {
         match peer.health.liveness(now_ms) {
             Liveness::Alive if self.is_listed_leaving(peer) => Liveness::Leaving,
--- a/crates/membership/src/rendezvous.rs
+++ b/crates/membership/src/rendezvous.rs
@@ -1,6 +1,8 @@
-//! Rendezvous hashing: all instances with the same view name the same one.
+//! Rendezvous hashing. All instances that know the same names choose the same one for a
+//! key.
 
-/// The name with the highest hash of name and key. `None` if there are no names.
+/// The name that is responsible for a key: the one with the highest [`rank`]. `None` if
+/// there are no names.
 pub fn responsible_for<'a>(
     key: &str,
     names: impl IntoIterator<Item = &'a str>,
@@ -10,11 +12,12 @@
         .max_by_key(|name| (rank(name, key), *name))
 }
 
-/// The rank of a name for a key, by which all instances order names alike; the highest goes
-/// first. Each key orders them differently.
+/// The rank of a name for a key. All instances order names by rank in the same way,
+/// highest first, and each key results in a different order.
 ///
-/// FNV-1a over both texts, with a finishing step that spreads the last bytes. The same in
-/// every process, unlike the hashers of the standard library.
+/// Computed with FNV-1a over both texts and a final mixing step that spreads the last
+/// bytes over all bits. Unlike the hashers of the standard library, it gives the same
+/// result in every process.
 pub fn rank(name: &str, key: &str) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/crates/membership/tests/registrations.rs
+++ b/crates/membership/tests/registrations.rs
@@ -1,4 +1,4 @@
-//! Absence of registrations, which decides takeovers.
+//! The absence of registrations, by which takeovers are decided.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
     BTreeMap::from([("peer".to_string(), incarnation(number))])
 }
 
-/// Guards against a takeover from a registered process.
+/// Guards against a takeover from a process that is registered.
 #[test]
 fn a_registered_process_is_not_absent() {
     let mut registrations = Registrations::default();
@@ -29,7 +29,8 @@
     assert_eq!(registrations.absent_ms(0, &incarnation(1)), None);
 }
 
-/// Guards against an absence that is counted from a read that showed the process.
+/// Guards against counting the absence from a read in which the process was still
+/// registered.
 #[test]
 fn absence_counts_from_the_first_read_without_it() {
     let mut registrations = Registrations::default();
@@ -39,9 +40,9 @@
     assert_eq!(registrations.absent_ms(6_000, &incarnation(1)), Some(3_000));
 }
 
-/// Guards against a takeover that is decided during or right after a store outage.
+/// Guards against a takeover during or right after a store outage.
 #[test]
-fn a_gap_between_reads_begins_the_count_again() {
+fn a_gap_between_reads_restarts_the_count() {
     let mut registrations = Registrations::default();
     registrations.read(0, present(1));
     registrations.read(3_000, BTreeMap::new());
@@ -59,9 +60,10 @@
     );
 }
 
-/// Guards against a count that goes on over a time in which the process was back.
+/// Guards against counting an earlier absence of a process that was registered again
+/// since.
 #[test]
-fn a_process_that_returns_is_counted_anew() {
+fn a_process_that_was_registered_again_starts_a_new_count() {
     let mut registrations = Registrations::default();
     registrations.read(0, present(1));
     registrations.read(2_000, BTreeMap::new());
--- a/crates/membership/tests/rendezvous.rs
+++ b/crates/membership/tests/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing over instances.
+//! Rendezvous hashing of keys over instances.
 
 use std::collections::BTreeMap;
 
@@ -6,6 +6,7 @@
 
 const KEYS: usize = 3_000;
 
+/// The responsible name for each of the [`KEYS`] keys.
 fn choices(names: &[&str]) -> Vec<String> {
     let choose = |index: usize| {
         let key = format!("key-{index}");
@@ -16,7 +17,8 @@
     (0..KEYS).map(choose).collect()
 }
 
-/// Guards against an instance that is responsible for most keys.
+/// Guards against an instance that is responsible for much more than its share of the
+/// keys.
 #[test]
 fn keys_are_spread_evenly() {
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
@@ -30,7 +32,7 @@
     );
 }
 
-/// Guards against keys that change hands although their instance stays.
+/// Guards against keys that move although the instance responsible for them stays.
 #[test]
 fn only_the_keys_of_a_leaving_instance_move() {
     let before = choices(&["a", "b", "c", "d"]);
@@ -40,7 +42,7 @@
     }
 }
 
-/// Guards against a choice without instances.
+/// Guards against choosing an instance when there is none.
 #[test]
 fn nobody_is_responsible_without_instances() {
     assert_eq!(responsible_for("key", []), None);
