--- a/crates/quota/src/home_weights/absence.rs
+++ b/crates/quota/src/home_weights/absence.rs
@@ -9,7 +9,7 @@
 /// Longest time between two reads of the registrations that counts as uninterrupted. It
 /// is below the registration TTL of 10 s, so a registration that appeared and disappeared
 /// between two reads cannot be missed.
-const CONTACT_GAP_MS: u64 = 5_000;
+const MAX_READ_GAP_MS: u64 = 5_000;
 
 /// Time added to the home term before an entry may be reclaimed. It covers differences in
 /// clock rates, and loans and calls that the owner granted or took at the end of its
@@ -23,7 +23,7 @@
 /// restarts the count.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct AbsenceTracker {
-    contact_gap_ms: u64,
+    max_read_gap_ms: u64,
     margin_ms: u64,
     last_read_ms: Option<u64>,
     absent_since_ms: BTreeMap<Incarnation, u64>,
@@ -31,17 +31,17 @@
 
 impl Default for AbsenceTracker {
     fn default() -> AbsenceTracker {
-        AbsenceTracker::with_limits(CONTACT_GAP_MS, RECLAIM_MARGIN_MS)
+        AbsenceTracker::with_limits(MAX_READ_GAP_MS, RECLAIM_MARGIN_MS)
     }
 }
 
 impl AbsenceTracker {
-    /// Creates a tracker with other limits than the defaults. `contact_gap_ms` is the
+    /// Creates a tracker with other limits than the defaults. `max_read_gap_ms` is the
     /// longest time between two reads and must be below the registration TTL. `margin_ms`
     /// is added to the home term and must cover one loan term with its margins.
-    pub fn with_limits(contact_gap_ms: u64, margin_ms: u64) -> AbsenceTracker {
+    pub fn with_limits(max_read_gap_ms: u64, margin_ms: u64) -> AbsenceTracker {
         AbsenceTracker {
-            contact_gap_ms,
+            max_read_gap_ms,
             margin_ms,
             last_read_ms: None,
             absent_since_ms: BTreeMap::new(),
@@ -56,9 +56,9 @@
         record: &HomeRecord,
         registered: &BTreeMap<String, Incarnation>,
     ) {
-        let in_contact = self
-            .last_read_ms
-            .is_some_and(|read_ms| now_ms.saturating_sub(read_ms) <= self.contact_gap_ms);
+        let in_contact = self.last_read_ms.is_some_and(|read_ms| {
+            now_ms.saturating_sub(read_ms) <= self.max_read_gap_ms
+        });
         if !in_contact {
             self.absent_since_ms.clear();
         }
--- a/crates/quota/tests/properties.rs
+++ b/crates/quota/tests/properties.rs
@@ -214,7 +214,7 @@
     /// rate × T calls in a window of length T, or the weights in use sum to more than the
     /// contract.
     #[test]
-    fn no_customer_exceeds_its_contract(events in prop::collection::vec(event(), 1..300)) {
+    fn no_customer_exceeds_contract(events in prop::collection::vec(event(), 1..300)) {
         let mut fleet = Fleet::new();
         for event in events {
             fleet.apply(event);
@@ -226,7 +226,7 @@
     /// Guards against a paused process that gains tokens: after the pause its state must
     /// be the same as if it had been updated all the time.
     #[test]
-    fn a_pause_does_not_change_the_resulting_state(steps in prop::collection::vec(1..3_000u64, 1..20)) {
+    fn a_pause_changes_no_state(steps in prop::collection::vec(1..3_000u64, 1..20)) {
         let (mut fleet, mut paused) = (Fleet::new(), Fleet::new());
         for fleet in [&mut fleet, &mut paused] {
             for _ in 0..9 {
