--- a/crates/programs/src/calls.rs
+++ b/crates/programs/src/calls.rs
@@ -83,7 +83,7 @@
         if program.waiting.len() >= MAX_WAITING_CALLS {
             return Err(Refusal::not_run(
                 RefusalReason::Overloaded,
-                "too many calls of the program are waiting",
+                "too many calls of the program wait",
             ));
         }
         Ok(key)
@@ -274,7 +274,7 @@
     let refusal = Refusal::not_run(
         RefusalReason::BudgetExhausted,
         format!(
-            "the budget has {} tokens left, which is too few for the call",
+            "{} tokens are left in the budget",
             account.remaining_tokens()
         ),
     );
--- a/crates/programs/src/checks.rs
+++ b/crates/programs/src/checks.rs
@@ -23,7 +23,7 @@
         ran: Ran::Unknown,
         retry_after_ms: None,
         message: format!(
-            "the call may have run at {epoch}; if it has not, retry it with epoch {own}"
+            "the call may have run at {epoch}; repeat it with epoch {own} if it has not"
         ),
     })
 }
@@ -57,7 +57,7 @@
     if expected >= program.max_turns {
         return Err(Refusal::not_run(
             RefusalReason::BudgetExhausted,
-            format!("the program is limited to {} turns", program.max_turns),
+            format!("the program may have {} turns", program.max_turns),
         ));
     }
     Ok(())
@@ -66,6 +66,6 @@
 pub(crate) fn turn_refusal(turn: u32, expected: u32) -> Refusal {
     Refusal::not_run(
         RefusalReason::WrongTurn,
-        format!("the call is for turn {turn}, but the next turn is {expected}"),
+        format!("the call names turn {turn}, the next turn is {expected}"),
     )
 }
--- a/crates/programs/src/grants.rs
+++ b/crates/programs/src/grants.rs
@@ -257,7 +257,7 @@
             request_id: call.params.request_id,
             admission: Admission::Refuse(Refusal::not_run(
                 RefusalReason::StoreUnavailable,
-                "the next part of the budget could not be recorded in the store",
+                "the next part of the budget cannot be recorded",
             )),
         });
     }
--- a/crates/programs/src/idempotency.rs
+++ b/crates/programs/src/idempotency.rs
@@ -28,7 +28,7 @@
         if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES {
             return Err(Refusal::not_run(
                 RefusalReason::InvalidRequest,
-                "the idempotency key must be 1 to 256 bytes long",
+                "the idempotency key must have 1 to 256 bytes",
             ));
         }
         let mut hasher = blake3::Hasher::new();
@@ -107,10 +107,8 @@
     /// The answer to another call with the same key.
     pub fn refusal(self) -> Refusal {
         let (ran, message) = match self {
-            KeyState::Running => {
-                (Ran::Unknown, "a call with this idempotency key is running")
-            }
-            KeyState::Ran => (Ran::Yes, "the call with this idempotency key has run"),
+            KeyState::Running => (Ran::Unknown, "a call with this idempotency key runs"),
+            KeyState::Ran => (Ran::Yes, "the call with this idempotency key ran"),
             KeyState::Unknown => (
                 Ran::Unknown,
                 "the call with this idempotency key may have run",
--- a/crates/programs/src/keyed.rs
+++ b/crates/programs/src/keyed.rs
@@ -199,15 +199,13 @@
         let responsible = view.and_then(|view| view.responsible(digest));
         let own = &self.config.own.instance;
         match responsible.map(|process| &process.instance) {
-            None => {
-                KeyedAdmission::Refuse(not_run("the known registrations are out of date"))
-            }
+            None => KeyedAdmission::Refuse(not_run("the view of the fleet is too old")),
             Some(name) if name == own && self.retired.is_some() => {
-                KeyedAdmission::Refuse(not_run("this instance is stopping"))
+                KeyedAdmission::Refuse(not_run("this instance stops"))
             }
             Some(name) if name == own => self.check_own(now_ms, digest),
             Some(_) if was_forwarded => {
-                KeyedAdmission::Refuse(not_run("another instance handles this key"))
+                KeyedAdmission::Refuse(not_run("another instance is responsible"))
             }
             Some(name) => KeyedAdmission::Forward {
                 instance: name.clone(),
@@ -227,7 +225,7 @@
         match self.keys.len() >= MAX_KEYS {
             true => KeyedAdmission::Refuse(Refusal::not_run(
                 RefusalReason::Overloaded,
-                "too many idempotency keys are stored",
+                "too many idempotency keys are remembered",
             )),
             false => KeyedAdmission::Run,
         }
--- a/crates/programs/src/lifetime.rs
+++ b/crates/programs/src/lifetime.rs
@@ -15,7 +15,7 @@
         self.stopped = true;
         let refusal = Refusal::not_run(
             RefusalReason::OwnerUnavailable,
-            "another instance has taken over the program",
+            "another instance took over the program",
         );
         let mut effects = ProgramEffects::default();
         let ids: Vec<ProgramId> = self.programs.keys().copied().collect();
--- a/crates/programs/src/open.rs
+++ b/crates/programs/src/open.rs
@@ -82,7 +82,7 @@
         if budget_tokens > limit_tokens {
             return Err(Refusal::not_run(
                 RefusalReason::NotAllowed,
-                format!("the profile limits the budget to {limit_tokens} tokens"),
+                format!("the profile allows a budget of {limit_tokens} tokens"),
             ));
         }
         let percent = self.config.first_tranche_percent;
@@ -110,7 +110,7 @@
         if request.budget_tokens.is_some() {
             return Err(Refusal::not_run(
                 RefusalReason::InvalidRequest,
-                "a sub-agent cannot have its own budget; it uses that of its root program",
+                "a sub-agent uses the budget of its root program",
             ));
         }
         let root = parent.token.root.clone();
@@ -121,7 +121,7 @@
         if members >= MAX_PROGRAMS_PER_ACCOUNT {
             return Err(Refusal::not_run(
                 RefusalReason::Overloaded,
-                "the root program has too many open sub-agents",
+                "the root program has too many sub-agents",
             ));
         }
         let budget_tokens = parent.token.budget_tokens;
--- a/crates/programs/src/ownership.rs
+++ b/crates/programs/src/ownership.rs
@@ -194,7 +194,7 @@
 /// The refusal of calls while the owner of their program is unreachable and not yet
 /// replaced.
 pub fn unreachable() -> Refusal {
-    let message = "the instance that owns the program cannot be reached";
+    let message = "the owner of the program cannot be reached";
     Refusal::not_run(RefusalReason::OwnerUnavailable, message)
         .retry_after_ms(OWNER_RETRY_MS)
 }
--- a/crates/programs/src/programs.rs
+++ b/crates/programs/src/programs.rs
@@ -174,7 +174,7 @@
         match self.stopped {
             true => Err(Refusal::not_run(
                 RefusalReason::NotReady,
-                "this instance no longer serves its programs; another one takes them over",
+                "another instance is responsible for the programs of this one",
             )),
             false => Ok(()),
         }
@@ -200,7 +200,7 @@
         if self.record_bytes + bytes > MAX_RECORD_BYTES {
             return Err(Refusal::not_run(
                 RefusalReason::Overloaded,
-                "this instance has too many open programs",
+                "the instance holds too many programs",
             ));
         }
         self.record_bytes += bytes;
