--- a/crates/bench/src/reducer_state.rs
+++ b/crates/bench/src/reducer_state.rs
@@ -6,7 +6,7 @@
 use eyre::{bail, eyre};
 use jayreel_fleet::{
     FleetEffect, FleetEvent, FleetSettings, Input, Output, PeerMessage, Reducer,
-    Registered,
+    RegisteredInstance,
 };
 use jayreel_membership::{Heartbeat, InstanceState};
 use jayreel_model::{
@@ -161,18 +161,18 @@
             registered: vec![registered("entry-0000", 0)],
             own_lease: Some(1),
         });
-        let outputs = self.fleet(FleetEvent::HomeRead {
+        let outputs = self.fleet(FleetEvent::HomeWeightsRead {
             sent_at_ms,
             record: HomeRecord::default(),
             version: 0,
         });
         let record = outputs.into_iter().find_map(|output| match output {
-            Output::Fleet(FleetEffect::WriteHome { record, .. }) => Some(record),
+            Output::Fleet(FleetEffect::WriteHomeWeights { record, .. }) => Some(record),
             _ => None,
         });
         let record = record.ok_or_else(|| eyre!("no home weight was written"))?;
         self.home_version = 1;
-        self.fleet(FleetEvent::HomeRead {
+        self.fleet(FleetEvent::HomeWeightsRead {
             sent_at_ms,
             record,
             version: 1,
@@ -346,7 +346,7 @@
         let names = (0..self.size.peers)
             .map(peer)
             .chain(["entry-0000".to_string()]);
-        FleetEvent::HomeRead {
+        FleetEvent::HomeWeightsRead {
             sent_at_ms: self.now_ms,
             record: HomeRecord {
                 founder: None,
@@ -484,7 +484,7 @@
 
     fn time_fleet(&mut self, timings: &mut Vec<Timing>) {
         timings.push(self.time("contact age", REPETITIONS, |_, _| {
-            Input::Fleet(FleetEvent::ContactAge(Some(10)))
+            Input::Fleet(FleetEvent::StoreContactAge(Some(10)))
         }));
         timings.push(self.time("registration renewed", REPETITIONS, |state, _| {
             let sent_at_ms = state.now_ms;
@@ -604,8 +604,8 @@
     Event::CallFinished { request_id, usage }
 }
 
-fn registered(instance: &str, index: u64) -> Registered {
-    Registered {
+fn registered(instance: &str, index: u64) -> RegisteredInstance {
+    RegisteredInstance {
         incarnation: incarnation(instance),
         availability_zone: zone(index),
         peer_address: "127.0.0.1:1".to_string(),
--- a/crates/core/src/engine_link.rs
+++ b/crates/core/src/engine_link.rs
@@ -187,7 +187,7 @@
     fn list(&self, endpoint: String, address: &str) {
         match self.control.cache_tags(address) {
             Ok(tags) => {
-                let event = FleetEvent::TagsListed { endpoint, tags };
+                let event = FleetEvent::CacheTagsListed { endpoint, tags };
                 let _ = self.events.send(ShellEvent::Reducer(Input::Fleet(event)));
             }
             Err(error) => {
--- a/crates/core/src/peer_link/discovery.rs
+++ b/crates/core/src/peer_link/discovery.rs
@@ -47,7 +47,7 @@
         }
         self.sender.told_addresses(self.clock.now_ms(), &peers);
         let names = peers.into_iter().map(|(name, _)| name).collect();
-        let event = FleetEvent::PeersFound(names);
+        let event = FleetEvent::PeersDiscovered(names);
         // The runner outlives this thread, so this fails only after a panic there.
         let _ = self.events.send(ShellEvent::Reducer(Input::Fleet(event)));
     }
--- a/crates/core/src/peer_link/snapshots.rs
+++ b/crates/core/src/peer_link/snapshots.rs
@@ -149,7 +149,7 @@
     fn tell_contact(&self, age_ms: u64) {
         let inputs = [
             Input::Schedule(Event::StoreContact { age_ms }),
-            Input::Fleet(FleetEvent::ContactAge(Some(age_ms))),
+            Input::Fleet(FleetEvent::StoreContactAge(Some(age_ms))),
         ];
         for input in inputs {
             // The runner outlives this thread, so this fails only after a panic there.
--- a/crates/core/src/shell/runner.rs
+++ b/crates/core/src/shell/runner.rs
@@ -145,10 +145,10 @@
                 Output::Fleet(FleetEffect::Send { to, message }) => {
                     self.outlets.peers.send(&to, &message);
                 }
-                Output::Fleet(FleetEffect::ListTags { endpoint }) => {
+                Output::Fleet(FleetEffect::ListCacheTags { endpoint }) => {
                     self.outlets.engines.list_tags(endpoint);
                 }
-                Output::Fleet(FleetEffect::ReleaseTag {
+                Output::Fleet(FleetEffect::ReleaseCacheTag {
                     endpoint,
                     cache_tag,
                 }) => {
--- a/crates/core/src/store_link/reader.rs
+++ b/crates/core/src/store_link/reader.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crossbeam::channel::Receiver;
-use jayreel_fleet::{FleetEvent, Input, Registered};
+use jayreel_fleet::{FleetEvent, Input, RegisteredInstance};
 use jayreel_model::Incarnation;
 use jayreel_quota::home_weights::HomeRecord;
 use jayreel_scheduler::Event;
@@ -63,7 +63,7 @@
     fn tell_local_state(&mut self) {
         let now_ms = self.context.clock.now_ms();
         let age_ms = self.feed.store_contact_age_ms();
-        self.context.send(FleetEvent::ContactAge(age_ms));
+        self.context.send(FleetEvent::StoreContactAge(age_ms));
         if let Some(age_ms) = age_ms {
             let event = Event::StoreContact { age_ms };
             let _ = self
@@ -100,13 +100,13 @@
 
     fn read_registrations(&self) {
         let sent_at_ms = self.context.clock.now_ms();
-        match registrations::<Registered>(self.context.store.as_ref()) {
+        match registrations::<RegisteredInstance>(self.context.store.as_ref()) {
             Ok(entries) => {
                 let own_entry = entries
                     .iter()
                     .find(|entry| entry.record.value.incarnation == self.own);
                 let own_lease = own_entry.and_then(|entry| entry.lease);
-                let registered: Vec<Registered> = entries
+                let registered: Vec<RegisteredInstance> = entries
                     .into_iter()
                     .map(|entry| entry.record.value)
                     .collect();
@@ -122,7 +122,7 @@
         }
     }
 
-    fn set_peers(&self, registered: &[Registered]) {
+    fn set_peers(&self, registered: &[RegisteredInstance]) {
         let others = registered
             .iter()
             .filter(|entry| entry.incarnation.instance != self.own.instance);
@@ -148,7 +148,7 @@
         Ok(found) => {
             let version = found.as_ref().map_or(0, |found| found.version);
             let record = found.map(|found| found.value).unwrap_or_default();
-            context.send(FleetEvent::HomeRead {
+            context.send(FleetEvent::HomeWeightsRead {
                 sent_at_ms,
                 record,
                 version,
--- a/crates/core/src/store_link/writer.rs
+++ b/crates/core/src/store_link/writer.rs
@@ -27,16 +27,16 @@
             FleetEffect::WriteBudget(record) => {
                 write_budget(context, own, record, &mut budget_version);
             }
-            FleetEffect::WriteHome {
+            FleetEffect::WriteHomeWeights {
                 record,
                 version,
                 requires_absent,
             } => {
                 write_home(context, &record, version, &requires_absent);
             }
-            FleetEffect::ListTags { .. }
+            FleetEffect::ListCacheTags { .. }
             | FleetEffect::SendOrder { .. }
-            | FleetEffect::ReleaseTag { .. }
+            | FleetEffect::ReleaseCacheTag { .. }
             | FleetEffect::Send { .. } => log::error!("event=misrouted_effect"),
         }
     }
@@ -147,7 +147,7 @@
             reread_budget(context, own, &record, version)
         }
     };
-    context.send(FleetEvent::GrantsWritten { record, confirmed });
+    context.send(FleetEvent::BudgetWritten { record, confirmed });
 }
 
 /// Whether the record was written although the answer was lost.
@@ -196,7 +196,7 @@
         Ok(commit) => {
             let accepted = commit.succeeded;
             log::info!("event=home_written accepted={accepted}");
-            context.send(FleetEvent::HomeWritten { version, accepted });
+            context.send(FleetEvent::HomeWeightsWritten { version, accepted });
         }
         Err(error) => log::warn!("event=home_unwritten error={error:?}"),
     }
--- a/crates/fleet/src/caretaker.rs
+++ b/crates/fleet/src/caretaker.rs
@@ -44,7 +44,7 @@
         let engines = self.engines_in_care(now_ms);
         let effects = engines
             .into_iter()
-            .map(|endpoint| FleetEffect::ListTags { endpoint });
+            .map(|endpoint| FleetEffect::ListCacheTags { endpoint });
         self.effects.extend(effects);
     }
 
@@ -138,7 +138,7 @@
 
     fn release_tag(&mut self, endpoint: &str, cache_tag: String) {
         let endpoint = endpoint.to_string();
-        self.effects.push(FleetEffect::ReleaseTag {
+        self.effects.push(FleetEffect::ReleaseCacheTag {
             endpoint,
             cache_tag,
         });
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -52,7 +52,7 @@
 /// An instance as it is registered in the store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Registered {
+pub struct RegisteredInstance {
     /// The process.
     pub incarnation: Incarnation,
     /// Its availability zone.
@@ -77,16 +77,16 @@
     /// The configuration in force changed.
     ConfigurationChanged(Arc<Configuration>),
     /// The age of the store contact behind the configuration.
-    ContactAge(Option<u64>),
+    StoreContactAge(Option<u64>),
     /// Whether the store confirmed a budget record.
-    GrantsWritten {
+    BudgetWritten {
         /// The record.
         record: BudgetRecord,
         /// False if the write failed or its outcome is unknown.
         confirmed: bool,
     },
     /// The home weights were read.
-    HomeRead {
+    HomeWeightsRead {
         /// When the read was sent.
         sent_at_ms: u64,
         /// The record. Empty if there is none.
@@ -95,14 +95,14 @@
         version: u64,
     },
     /// Whether a write of the home weights was accepted. Not sent if that is unknown.
-    HomeWritten {
+    HomeWeightsWritten {
         /// The version that was to be replaced.
         version: u64,
         /// Whether it was.
         accepted: bool,
     },
     /// The platform's list of leaving instances was read.
-    LeavingListed(BTreeSet<String>),
+    LeavingInstancesRead(BTreeSet<String>),
     /// An engine reported what it has loaded.
     ModelsReported {
         /// Name of the endpoint.
@@ -129,7 +129,7 @@
         message: PeerMessage,
     },
     /// Instances of these names may be reached, though none was heard of in a heartbeat.
-    PeersFound(Vec<String>),
+    PeersDiscovered(Vec<String>),
     /// The own registration was renewed.
     RegistrationRenewed {
         /// When the renewal was sent.
@@ -140,16 +140,16 @@
         /// When the read was sent.
         sent_at_ms: u64,
         /// The registered instances.
-        registered: Vec<Registered>,
+        registered: Vec<RegisteredInstance>,
         /// The lease of the own registration, if there is one.
         own_lease: Option<i64>,
     },
     /// A planned stop has begun. Calls still arrive.
     StopStarted,
     /// All calls have ended, and no more will arrive: hand over and give back.
-    StopServing,
+    ServingEnded,
     /// The cache tags that an engine holds.
-    TagsListed {
+    CacheTagsListed {
         /// Name of the endpoint.
         endpoint: String,
         /// The tags.
@@ -178,15 +178,15 @@
     pub(crate) fn brings_decisions(&self) -> bool {
         !matches!(
             self,
-            FleetEvent::ContactAge(_)
-                | FleetEvent::HomeRead { .. }
+            FleetEvent::StoreContactAge(_)
+                | FleetEvent::HomeWeightsRead { .. }
                 | FleetEvent::ModelsReported { .. }
                 | FleetEvent::OrderAnswered { .. }
                 | FleetEvent::PeerMessage {
                     message: PeerMessage::Heartbeat(_) | PeerMessage::HeartbeatAnswer(_),
                     ..
                 }
-                | FleetEvent::PeersFound(_)
+                | FleetEvent::PeersDiscovered(_)
                 | FleetEvent::RegistrationRenewed { .. }
                 | FleetEvent::RegistrationsRead { .. }
         )
@@ -216,7 +216,7 @@
         message: PeerMessage,
     },
     /// Drop a program's cache at an engine.
-    ReleaseTag {
+    ReleaseCacheTag {
         /// Name of the endpoint.
         endpoint: String,
         /// The program's cache tag.
@@ -232,14 +232,14 @@
         order: EngineOrder,
     },
     /// List the cache tags that an engine holds.
-    ListTags {
+    ListCacheTags {
         /// Name of the endpoint.
         endpoint: String,
     },
     /// Write the own budget record.
     WriteBudget(BudgetRecord),
     /// Write the home weights if the record still has this version, then read them.
-    WriteHome {
+    WriteHomeWeights {
         /// The new record.
         record: HomeRecord,
         /// The version it replaces, 0 if there is none.
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -158,10 +158,10 @@
                 self.forget_moved_engines(&configuration);
                 self.configuration = Some(configuration);
             }
-            FleetEvent::ContactAge(age_ms) => {
+            FleetEvent::StoreContactAge(age_ms) => {
                 self.contact = age_ms.map(|age_ms| (age_ms, now_ms));
             }
-            FleetEvent::GrantsWritten { record, confirmed } => {
+            FleetEvent::BudgetWritten { record, confirmed } => {
                 let transition = match confirmed {
                     true => self.programs.budget_record_written(&record),
                     false => {
@@ -172,17 +172,17 @@
                 self.record(transition);
                 self.last_grants_written(&record);
             }
-            FleetEvent::HomeRead {
+            FleetEvent::HomeWeightsRead {
                 sent_at_ms,
                 record,
                 version,
             } => {
                 self.home_read(now_ms, sent_at_ms, record, version);
             }
-            FleetEvent::HomeWritten { version, accepted } => {
+            FleetEvent::HomeWeightsWritten { version, accepted } => {
                 self.home_written(version, accepted);
             }
-            FleetEvent::LeavingListed(names) => {
+            FleetEvent::LeavingInstancesRead(names) => {
                 self.membership.set_listed_leaving(names);
             }
             FleetEvent::ModelsReported {
@@ -198,7 +198,7 @@
             FleetEvent::PeerMessage { from, message } => {
                 self.peer_message(now_ms, from, message);
             }
-            FleetEvent::PeersFound(names) => self.greet(names),
+            FleetEvent::PeersDiscovered(names) => self.greet(names),
             FleetEvent::RegistrationRenewed { sent_at_ms } => {
                 self.registration_renewed(now_ms, sent_at_ms);
             }
@@ -210,9 +210,9 @@
                 self.home.own_lease = own_lease;
                 self.registrations_read(now_ms, sent_at_ms, registered);
             }
-            FleetEvent::StopServing => self.stop_serving(now_ms),
+            FleetEvent::ServingEnded => self.stop_serving(now_ms),
             FleetEvent::StopStarted => self.start_stop(now_ms),
-            FleetEvent::TagsListed { endpoint, tags } => {
+            FleetEvent::CacheTagsListed { endpoint, tags } => {
                 self.tags_listed(now_ms, &endpoint, tags);
             }
             FleetEvent::TakeoverRead { of, record } => {
--- a/crates/fleet/src/home.rs
+++ b/crates/fleet/src/home.rs
@@ -205,7 +205,7 @@
     ) {
         self.home.last_write_on = Some(version);
         self.home.writing = true;
-        self.effects.push(FleetEffect::WriteHome {
+        self.effects.push(FleetEffect::WriteHomeWeights {
             record,
             version,
             requires_absent,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -25,7 +25,7 @@
 mod zone_loads;
 
 pub use crate::engine_state::OrderAnswer;
-pub use crate::event::{FleetEffect, FleetEvent, PeerMessage, Registered};
+pub use crate::event::{FleetEffect, FleetEvent, PeerMessage, RegisteredInstance};
 pub use crate::fleet::Fleet;
 pub use crate::reducer::{Input, Output, Reducer};
 pub use crate::settings::FleetSettings;
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -5,7 +5,7 @@
 use jayreel_membership::{Heartbeat, InstanceState};
 use jayreel_model::Incarnation;
 
-use crate::event::{FleetEffect, PeerMessage, Registered};
+use crate::event::{FleetEffect, PeerMessage, RegisteredInstance};
 use crate::fleet::Fleet;
 
 impl Fleet {
@@ -62,7 +62,7 @@
         &mut self,
         now_ms: u64,
         sent_at_ms: u64,
-        registered: Vec<Registered>,
+        registered: Vec<RegisteredInstance>,
     ) {
         let processes: Vec<(Incarnation, String)> = registered
             .iter()
--- a/crates/fleet/tests/cold_start.rs
+++ b/crates/fleet/tests/cold_start.rs
@@ -6,7 +6,7 @@
 
 use jayreel_fleet::{
     FleetEffect, FleetEvent, FleetSettings, Input, Output, PeerMessage, Reducer,
-    Registered,
+    RegisteredInstance,
 };
 use jayreel_model::{
     Configuration, Customer, CustomerKey, Endpoint, EndpointKind, KeyHash, Profile, Ran,
@@ -107,7 +107,7 @@
 }
 
 fn lists_tags(output: &Output) -> bool {
-    matches!(output, Output::Fleet(FleetEffect::ListTags { .. }))
+    matches!(output, Output::Fleet(FleetEffect::ListCacheTags { .. }))
 }
 
 // Guards against a caretaker that takes the owners of cache tags for gone because it has
@@ -121,7 +121,7 @@
     }
     let event = FleetEvent::RegistrationsRead {
         sent_at_ms: 2 * MINUTE_MS,
-        registered: vec![Registered {
+        registered: vec![RegisteredInstance {
             incarnation: incarnation("entry-0"),
             availability_zone: "zone-0".to_string(),
             peer_address: "127.0.0.1:1".to_string(),
@@ -178,7 +178,7 @@
 
 fn greeted(reducer: &mut Reducer, now_ms: u64) -> Vec<String> {
     let names = ["entry-0", "entry-1"].map(str::to_string);
-    let event = FleetEvent::PeersFound(names.to_vec());
+    let event = FleetEvent::PeersDiscovered(names.to_vec());
     let outputs = reducer.apply(now_ms, Input::Fleet(event));
     outputs
         .into_iter()
@@ -211,7 +211,7 @@
 /// Whether an instance that hears of a live peer is ready, by its contact with the store.
 fn is_ready(contact_age_ms: u64) -> bool {
     let mut reducer = reducer();
-    let contact = FleetEvent::ContactAge(Some(contact_age_ms));
+    let contact = FleetEvent::StoreContactAge(Some(contact_age_ms));
     reducer.apply(1, Input::Fleet(contact));
     let answer = heartbeat("entry-1", Some(contact_age_ms));
     for message in [
--- a/crates/fleet/tests/contact.rs
+++ b/crates/fleet/tests/contact.rs
@@ -39,7 +39,7 @@
 fn told_contact_age_grows_without_news_of_the_store() {
     let mut reducer = reducer();
     assert_eq!(told_age_ms(&mut reducer, 500), None);
-    reducer.apply(1_000, Input::Fleet(FleetEvent::ContactAge(Some(40))));
+    reducer.apply(1_000, Input::Fleet(FleetEvent::StoreContactAge(Some(40))));
     assert_eq!(told_age_ms(&mut reducer, 1_000), Some(40));
     assert_eq!(told_age_ms(&mut reducer, 7_000), Some(6_040));
 }
--- a/crates/fleet/tests/home.rs
+++ b/crates/fleet/tests/home.rs
@@ -1,6 +1,6 @@
 //! When a home weight that was read counts.
 
-use jayreel_fleet::{Fleet, FleetEffect, FleetEvent, FleetSettings, Registered};
+use jayreel_fleet::{Fleet, FleetEffect, FleetEvent, FleetSettings, RegisteredInstance};
 use jayreel_model::{Configuration, Customer, Incarnation};
 use jayreel_programs::TokenKey;
 use jayreel_quota::home_weights::HomeRecord;
@@ -38,7 +38,7 @@
 }
 
 fn read_registrations(fleet: &mut Fleet, now_ms: u64, registered: &[u64]) {
-    let entry = |index: &u64| Registered {
+    let entry = |index: &u64| RegisteredInstance {
         incarnation: incarnation(*index),
         availability_zone: "zone-0".to_string(),
         peer_address: incarnation(*index).to_string(),
@@ -59,7 +59,7 @@
     record: &HomeRecord,
     version: u64,
 ) -> Option<HomeRecord> {
-    let event = FleetEvent::HomeRead {
+    let event = FleetEvent::HomeWeightsRead {
         sent_at_ms: now_ms,
         record: record.clone(),
         version,
@@ -67,7 +67,7 @@
     fleet.apply(now_ms, event);
     let mut effects = fleet.take_effects().into_iter();
     effects.find_map(|effect| match effect {
-        FleetEffect::WriteHome { record, .. } => Some(record),
+        FleetEffect::WriteHomeWeights { record, .. } => Some(record),
         _ => None,
     })
 }
@@ -85,7 +85,7 @@
     let mut other = fleet(1, &[0, 1]);
     let record = read(&mut founder, 0, &HomeRecord::default(), 0).expect("created");
     assert!(read(&mut founder, 10, &record, 1).is_none());
-    let event = FleetEvent::HomeWritten {
+    let event = FleetEvent::HomeWeightsWritten {
         version: 0,
         accepted: true,
     };
--- a/crates/fleet/tests/pair/node.rs
+++ b/crates/fleet/tests/pair/node.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use jayreel_fleet::{Fleet, FleetEffect, FleetEvent, FleetSettings, Registered};
+use jayreel_fleet::{Fleet, FleetEffect, FleetEvent, FleetSettings, RegisteredInstance};
 use jayreel_model::{Configuration, Customer, Incarnation};
 use jayreel_programs::TokenKey;
 use jayreel_scheduler::quota_admission::{QuotaAdmission, QuotaDecision};
@@ -109,7 +109,7 @@
         for effect in self.fleet.take_effects() {
             match effect {
                 FleetEffect::Send { .. } => self.sends.push(effect),
-                FleetEffect::WriteHome { .. } => self.writes.push_back(effect),
+                FleetEffect::WriteHomeWeights { .. } => self.writes.push_back(effect),
                 _ => {}
             }
         }
@@ -139,7 +139,7 @@
     fn contact_store(&mut self, now_ms: u64, sent_at_ms: u64, store: &mut Store) {
         let since_ms = sent_at_ms.checked_sub(self.plan.registration_ms);
         if since_ms.is_some_and(|since_ms| since_ms.is_multiple_of(RENEW_INTERVAL_MS)) {
-            let entry = Registered {
+            let entry = RegisteredInstance {
                 incarnation: self.own.clone(),
                 availability_zone: "zone-0".to_string(),
                 peer_address: self.own.to_string(),
@@ -173,21 +173,21 @@
             self.deliver(now_ms + STEP_MS, event);
             self.read_home(now_ms, own_ms, store);
         }
-        let Some(FleetEffect::WriteHome {
+        let Some(FleetEffect::WriteHomeWeights {
             record, version, ..
         }) = self.writes.pop_front()
         else {
             return;
         };
         if let Some(accepted) = store.write_home(record, version) {
-            let event = FleetEvent::HomeWritten { version, accepted };
+            let event = FleetEvent::HomeWeightsWritten { version, accepted };
             self.write_answer = Some((now_ms + self.plan.write_answer_ms, event));
         }
     }
 
     fn read_home(&mut self, now_ms: u64, sent_at_ms: u64, store: &mut Store) {
         if let Some((record, version)) = store.home() {
-            let event = FleetEvent::HomeRead {
+            let event = FleetEvent::HomeWeightsRead {
                 sent_at_ms,
                 record,
                 version,
--- a/crates/fleet/tests/pair/store.rs
+++ b/crates/fleet/tests/pair/store.rs
@@ -1,6 +1,6 @@
 //! The store: home weights and registrations.
 
-use jayreel_fleet::Registered;
+use jayreel_fleet::RegisteredInstance;
 use jayreel_quota::home_weights::HomeRecord;
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 pub(super) struct Store {
     record: HomeRecord,
     version: u64,
-    registered: BTreeMap<String, Registered>,
+    registered: BTreeMap<String, RegisteredInstance>,
     calls: usize,
     cut_at: Option<usize>,
     last_call_counts: bool,
@@ -41,7 +41,7 @@
         self.cut_at_write
     }
 
-    pub fn register(&mut self, entry: Registered) -> bool {
+    pub fn register(&mut self, entry: RegisteredInstance) -> bool {
         let (takes_effect, answered) = self.call(true);
         if takes_effect {
             let name = entry.incarnation.instance.clone();
@@ -50,7 +50,7 @@
         answered
     }
 
-    pub fn registrations(&mut self) -> Option<Vec<Registered>> {
+    pub fn registrations(&mut self) -> Option<Vec<RegisteredInstance>> {
         let (_, answered) = self.call(false);
         answered.then(|| self.registered.values().cloned().collect())
     }
--- a/crates/fleet/tests/searches.rs
+++ b/crates/fleet/tests/searches.rs
@@ -145,7 +145,7 @@
         Output::Fleet(FleetEffect::WriteBudget(record)) => Some(record),
         _ => None,
     });
-    let event = FleetEvent::GrantsWritten {
+    let event = FleetEvent::BudgetWritten {
         record: record.unwrap(),
         confirmed: false,
     };
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -8,7 +8,7 @@
 
 use jayreel_fleet::PeerMessage;
 use jayreel_fleet::{
-    FleetEffect, FleetEvent, FleetSettings, Input, Output, Reducer, Registered,
+    FleetEffect, FleetEvent, FleetSettings, Input, Output, Reducer, RegisteredInstance,
 };
 use jayreel_membership::{Heartbeat, InstanceState};
 use jayreel_model::{
@@ -29,8 +29,8 @@
     }
 }
 
-pub fn registered(instance: &str, availability_zone: &str) -> Registered {
-    Registered {
+pub fn registered(instance: &str, availability_zone: &str) -> RegisteredInstance {
+    RegisteredInstance {
         incarnation: incarnation(instance),
         availability_zone: availability_zone.to_string(),
         peer_address: "127.0.0.1:1".to_string(),
@@ -150,7 +150,7 @@
     }
 
     /// The registrations are read.
-    pub fn register(&mut self, registered: &[Registered]) {
+    pub fn register(&mut self, registered: &[RegisteredInstance]) {
         let event = FleetEvent::RegistrationsRead {
             sent_at_ms: self.now_ms,
             registered: registered.to_vec(),
@@ -173,18 +173,21 @@
         self.apply(Input::Fleet(FleetEvent::RegistrationRenewed { sent_at_ms }));
         let outputs = self.read_home(HomeRecord::default(), 0);
         let record = outputs.into_iter().find_map(|output| match output {
-            Output::Fleet(FleetEffect::WriteHome { record, .. }) => Some(record),
+            Output::Fleet(FleetEffect::WriteHomeWeights { record, .. }) => Some(record),
             _ => None,
         });
         let (version, accepted) = (0, true);
-        self.apply(Input::Fleet(FleetEvent::HomeWritten { version, accepted }));
+        self.apply(Input::Fleet(FleetEvent::HomeWeightsWritten {
+            version,
+            accepted,
+        }));
         self.read_home(record.expect("a write of the home weights"), 1);
         self.apply_after(1_000, Input::Schedule(Event::Tick));
     }
 
     fn read_home(&mut self, record: HomeRecord, version: u64) -> Vec<Output> {
         let sent_at_ms = self.now_ms;
-        self.apply(Input::Fleet(FleetEvent::HomeRead {
+        self.apply(Input::Fleet(FleetEvent::HomeWeightsRead {
             sent_at_ms,
             record,
             version,
