--- a/crates/fleet/src/engine_state.rs
+++ b/crates/fleet/src/engine_state.rs
@@ -1,71 +1,81 @@
-//! What the caretaker knows of one engine and of the orders that it sent there.
+//! What this instance knows of one engine: its last report and the orders that were sent to
+//! it.
 
 use std::collections::BTreeMap;
 
 use jayreel_model::{EngineModels, EngineOrder};
 
-/// An order without an answer is given up after this time. Longer than all deadlines of
-/// one request together with its wait for a thread.
-const ANSWER_LIMIT_MS: u64 = 30_000;
+/// After this time without an answer an order counts as ended. Longer than all timeouts of one
+/// request together with its wait for a thread.
+const ANSWER_TIMEOUT_MS: u64 = 30_000;
 
-/// Pause before an order that had no effect is sent again. Doubles up to the maximum, so
-/// that loads which fail do not use up the rate of the weight store.
-const REPEAT_PAUSE_MS: u64 = 5_000;
-const MAX_REPEAT_PAUSE_MS: u64 = 60_000;
+/// Delay before an order that had no effect is sent again. It doubles with each attempt up to
+/// [`MAX_RETRY_DELAY_MS`], so that failing loads do not use up the rate of the store that holds
+/// the model weights.
+const INITIAL_RETRY_DELAY_MS: u64 = 5_000;
 
-/// What became of an order.
+/// Largest delay between two attempts to send the same order.
+const MAX_RETRY_DELAY_MS: u64 = 60_000;
+
+/// The outcome of an order to an engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderAnswer {
-    /// The engine took it.
+    /// The engine accepted the order. It may still be loading.
     Accepted,
-    /// The engine refused it, or it is not known whether the engine took it.
+    /// The engine refused the order, or it is unknown whether it accepted it.
     Failed,
-    /// The engine has seen a newer fencing number.
+    /// The engine refused the order because it has seen a higher fencing number.
     Superseded,
 }
 
-/// A report of an engine.
+/// What an engine reported to have loaded.
 #[derive(Clone, Debug)]
 pub(crate) struct Report {
-    /// When it was asked for.
+    /// When the report was requested.
     pub(crate) sent_at_ms: u64,
+    /// When the report arrived at the reducer.
     pub(crate) received_at_ms: u64,
     pub(crate) models: EngineModels,
 }
 
-/// The last order.
+/// The last order that this process sent to an engine.
 #[derive(Clone, Debug)]
-struct Sent {
+struct SentOrder {
+    /// Store revision of the endpoint record that the order follows from.
     fencing: u64,
     order: EngineOrder,
     sent_at_ms: u64,
+    /// When the answer or the failure of the request arrived.
     answered_at_ms: Option<u64>,
 }
 
+/// Backoff of an order that was sent and is still needed.
 #[derive(Clone, Copy, Debug)]
-struct Repeat {
-    pause_ms: u64,
+struct RetryState {
+    delay_ms: u64,
+    /// Earliest time of the next attempt.
     next_at_ms: u64,
 }
 
-/// One engine. Kept for all engines that report, also those in another instance's care.
+/// State of one engine. Kept for all engines that report, including those that another
+/// instance is responsible for, so that any instance can continue its work.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EngineState {
     pub(crate) report: Option<Report>,
-    /// The newest order that this process sent.
-    sent: Option<Sent>,
-    /// Records up to this revision justify no order, because the engine has seen a newer
-    /// fencing number.
-    superseded_by_revision: u64,
-    /// Orders that were sent and are still needed.
-    repeats: BTreeMap<EngineOrder, Repeat>,
-    /// Since when unloads are needed. Calls that were dispatched before may use what they
-    /// unload.
-    pub(crate) unloads: BTreeMap<EngineOrder, u64>,
+    /// The last order that this process sent.
+    sent: Option<SentOrder>,
+    /// No order follows from endpoint records up to this revision, because the engine has seen
+    /// a higher fencing number.
+    highest_superseded_revision: u64,
+    /// Backoff of the orders that were sent and are still needed.
+    retries: BTreeMap<EngineOrder, RetryState>,
+    /// When each needed unload became needed. Calls that were dispatched up to that time may
+    /// use what it unloads.
+    pub(crate) unload_since_ms: BTreeMap<EngineOrder, u64>,
 }
 
 impl EngineState {
-    /// Takes over a report unless a later one is known.
+    /// Stores a report unless one that was requested later is known.
     pub(crate) fn record_report(&mut self, report: Report) {
         let known = self.report.as_ref().map(|known| known.sent_at_ms);
         if known.is_none_or(|known| known <= report.sent_at_ms) {
@@ -73,15 +83,15 @@
         }
     }
 
-    /// Records an order that goes out.
+    /// Records an order that is sent at `now_ms`, and doubles the delay before its next attempt.
     pub(crate) fn record_sent(&mut self, now_ms: u64, fencing: u64, order: &EngineOrder) {
-        let repeat = self.repeats.entry(order.clone()).or_insert(Repeat {
-            pause_ms: REPEAT_PAUSE_MS / 2,
+        let retry = self.retries.entry(order.clone()).or_insert(RetryState {
+            delay_ms: INITIAL_RETRY_DELAY_MS / 2,
             next_at_ms: 0,
         });
-        repeat.pause_ms = (repeat.pause_ms * 2).min(MAX_REPEAT_PAUSE_MS);
-        repeat.next_at_ms = now_ms + repeat.pause_ms;
-        self.sent = Some(Sent {
+        retry.delay_ms = (retry.delay_ms * 2).min(MAX_RETRY_DELAY_MS);
+        retry.next_at_ms = now_ms + retry.delay_ms;
+        self.sent = Some(SentOrder {
             fencing,
             order: order.clone(),
             sent_at_ms: now_ms,
@@ -89,7 +99,7 @@
         });
     }
 
-    /// Records the answer to an order.
+    /// Records the answer to the order with this fencing number.
     pub(crate) fn record_answer(
         &mut self,
         now_ms: u64,
@@ -101,38 +111,40 @@
             _ => {}
         }
         if answer == OrderAnswer::Superseded {
-            self.superseded_by_revision = self.superseded_by_revision.max(fencing);
+            self.highest_superseded_revision =
+                self.highest_superseded_revision.max(fencing);
         }
     }
 
-    /// Whether the engine refuses orders that this record revision justifies.
+    /// Whether the engine refuses orders with this endpoint revision as fencing number.
     pub(crate) fn is_superseded(&self, revision: u64) -> bool {
-        revision <= self.superseded_by_revision
+        revision <= self.highest_superseded_revision
     }
 
-    /// Whether the effect of the last order is not known yet: it has no answer, or no
-    /// report was asked for since.
-    pub(crate) fn is_unsettled(&self, now_ms: u64) -> bool {
+    /// Whether the effect of the last order is still unknown: it has no answer yet, or no
+    /// report was requested since the answer.
+    pub(crate) fn is_outcome_unknown(&self, now_ms: u64) -> bool {
         let Some(sent) = &self.sent else {
             return false;
         };
         let end_ms = match sent.answered_at_ms {
             Some(at_ms) => at_ms,
-            None if now_ms < sent.sent_at_ms + ANSWER_LIMIT_MS => return true,
-            None => sent.sent_at_ms + ANSWER_LIMIT_MS,
+            None if now_ms < sent.sent_at_ms + ANSWER_TIMEOUT_MS => return true,
+            None => sent.sent_at_ms + ANSWER_TIMEOUT_MS,
         };
         let seen_at_ms = self.report.as_ref().map(|report| report.sent_at_ms);
         seen_at_ms.is_none_or(|at_ms| at_ms <= end_ms)
     }
 
-    /// Whether the engine loads, or was just told to. A report older than `valid_ms`
-    /// counts no more, so that an engine that died while it loaded holds up no other.
+    /// Whether the engine is loading or was just ordered to load. A report that arrived
+    /// `valid_ms` ago or earlier is ignored, so that an engine that died during a load does not
+    /// delay the loads of others.
     pub(crate) fn is_loading(&self, now_ms: u64, valid_ms: u64) -> bool {
         let sent = self.sent.as_ref();
         let is_ordered = sent.is_some_and(|sent| {
             sent.order.is_load()
-                && now_ms < sent.sent_at_ms + ANSWER_LIMIT_MS
-                && self.is_unsettled(now_ms)
+                && now_ms < sent.sent_at_ms + ANSWER_TIMEOUT_MS
+                && self.is_outcome_unknown(now_ms)
         });
         let is_reported = self.report.as_ref().is_some_and(|report| {
             report.models.is_loading() && now_ms < report.received_at_ms + valid_ms
@@ -140,30 +152,33 @@
         is_ordered || is_reported
     }
 
-    /// Whether the order may be sent now, as far as earlier attempts tell.
-    pub(crate) fn may_send(&self, now_ms: u64, order: &EngineOrder) -> bool {
-        let repeat = self.repeats.get(order);
-        repeat.is_none_or(|repeat| now_ms >= repeat.next_at_ms)
+    /// Whether the order was not sent yet, or its delay since the last attempt has passed.
+    pub(crate) fn is_retry_due(&self, now_ms: u64, order: &EngineOrder) -> bool {
+        let retry = self.retries.get(order);
+        retry.is_none_or(|retry| now_ms >= retry.next_at_ms)
     }
 
-    /// The newest order under this revision, if an order with an older fencing number
-    /// arrived at the engine after it.
-    pub(crate) fn overtaken(&self, revision: u64) -> Option<EngineOrder> {
+    /// The last order that was sent with this endpoint revision, if the engine reports an order
+    /// with a lower fencing number as its last one. That order arrived late, so the newer one
+    /// must be sent again to arrive last.
+    pub(crate) fn overtaken_order(&self, revision: u64) -> Option<EngineOrder> {
         let sent = self.sent.as_ref()?;
         let report = self.report.as_ref()?;
-        // 0 is what an engine reports that does not tell its last order.
-        let arrived_last = report.models.fencing;
+        // Engines that do not report the fencing number of their last order report 0.
+        let last_fencing = report.models.fencing;
         let is_overtaken =
-            sent.fencing == revision && (1..sent.fencing).contains(&arrived_last);
+            sent.fencing == revision && (1..sent.fencing).contains(&last_fencing);
         is_overtaken.then(|| sent.order.clone())
     }
 
-    /// Forgets what is no longer needed and notes since when unloads are.
-    pub(crate) fn set_needed(&mut self, now_ms: u64, needed: &[EngineOrder]) {
-        self.repeats.retain(|order, _| needed.contains(order));
-        self.unloads.retain(|order, _| needed.contains(order));
+    /// Drops the state of orders that are no longer needed, and records when unloads became
+    /// needed.
+    pub(crate) fn update_needed(&mut self, now_ms: u64, needed: &[EngineOrder]) {
+        self.retries.retain(|order, _| needed.contains(order));
+        self.unload_since_ms
+            .retain(|order, _| needed.contains(order));
         for order in needed.iter().filter(|order| !order.is_load()) {
-            self.unloads.entry(order.clone()).or_insert(now_ms);
+            self.unload_since_ms.entry(order.clone()).or_insert(now_ms);
         }
     }
 }
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -1,4 +1,5 @@
-//! What the fleet step learns from peers and the store, and what it asks for.
+//! Inputs and outputs of [`FleetState`](crate::FleetState): messages between instances,
+//! events from peers, the store and the engines, and the effects that the caller carries out.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,170 +13,184 @@
 
 use crate::engine_state::OrderAnswer;
 
-/// A message between instances.
+/// A message between two instances. It may be lost or arrive more than once.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerMessage {
-    /// The tags of a query that belong to live programs of the sender.
+    /// Answer to [`PeerMessage::CacheTagQuery`]: those of its cache tags that the sender still
+    /// needs.
     CacheTagsOwned(Vec<String>),
-    /// Asks which of these tags belong to live programs of the receiver.
+    /// Asks which of these cache tags the receiver still needs for its programs. The sender
+    /// releases the others.
     CacheTagQuery(Vec<String>),
-    /// Programs of an instance that stops.
+    /// One part of the programs of a stopping process, sent to its successor.
     Handover(Box<Handover>),
-    /// The programs of a handover were taken over.
+    /// The successor has imported the part of the programs that it received last.
     HandoverTaken,
-    /// Asks whether the peer is alive, and tells the sender's state.
+    /// Asks whether the peer is alive and carries the sender's state. The receiver sends
+    /// [`PeerMessage::HeartbeatAnswer`].
     Heartbeat(Heartbeat),
-    /// The answer to a heartbeat.
+    /// Answer to a heartbeat, with the state of the instance that answers.
     HeartbeatAnswer(Heartbeat),
-    /// Idempotency keys without a program, of a process that stops.
+    /// One part of the idempotency keys that a stopping process has seen in calls without a
+    /// program.
     KeyedHandover(Box<KeyedHandover>),
-    /// A part of these keys was taken over.
+    /// The receiver has imported one part of the idempotency keys.
     KeyedHandoverTaken {
-        /// Its number.
+        /// Number of the part, from 0, as in the `KeyedHandover` that it confirms.
         part: u32,
     },
-    /// A part of the lender's share.
+    /// Answer to a loan request: lends a part of the sender's rate to the receiver.
     LoanGrant(LoanGrant),
-    /// Asks for a part of the lender's share.
+    /// Asks to borrow a part of the receiver's rate for one customer.
     LoanRequest(LoanRequest),
-    /// Gives a loan back before its term.
+    /// Returns a loan to the lender before it expires.
     LoanReturn(LoanReturn),
-    /// A takeover record stands in the store.
+    /// The store has a takeover record for an incarnation.
     Takeover {
-        /// The incarnation that is gone.
+        /// The incarnation whose programs have a new owner.
         of: Incarnation,
-        /// The record.
+        /// The record, which names the new owner.
         record: TakeoverRecord,
     },
 }
 
-/// An instance as it is registered in the store.
+/// The store's record of a registered instance. It is encoded as JSON under the instance's
+/// lease.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RegisteredInstance {
-    /// The process.
+    /// The process that wrote the record.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// Availability zone that the instance runs in.
     pub availability_zone: String,
-    /// Where it accepts peers.
+    /// Address at which the instance accepts connections of peers.
     pub peer_address: String,
-    /// Whether it has announced a planned stop.
+    /// Whether the instance has begun a planned stop. False in records without the field.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// What the fleet step learns.
+/// An event from a peer, the store, an engine or the instance itself.
 #[derive(Clone, Debug)]
 pub enum FleetEvent {
-    /// The last budget record of an incarnation was read. `None`: it wrote none.
+    /// The budget record of a predecessor was read from the store, in answer to
+    /// [`FleetEffect::ReadBudget`].
     BudgetRead {
-        /// The incarnation.
+        /// The incarnation that wrote the record.
         of: Incarnation,
-        /// Its record.
+        /// Its last record. `None` if it never wrote one.
         record: Option<BudgetRecord>,
     },
-    /// The configuration in force changed.
+    /// A new configuration is in force.
     ConfigurationChanged(Arc<Configuration>),
-    /// The age of the store contact behind the configuration.
+    /// Time in milliseconds since the store last confirmed the configuration in force,
+    /// directly or through a peer. `None` if it never did.
     StoreContactAge(Option<u64>),
-    /// Whether the store confirmed a budget record.
+    /// A write of the own budget record has ended.
     BudgetWritten {
-        /// The record.
+        /// The record of the write.
         record: BudgetRecord,
-        /// False if the write failed or its outcome is unknown.
+        /// Whether the store confirmed the write. False if the write failed or its outcome is
+        /// unknown.
         confirmed: bool,
     },
-    /// The home weights were read.
+    /// The record of the home weights was read from the store.
     HomeWeightsRead {
-        /// When the read was sent.
+        /// When the read was sent, in milliseconds of this instance's monotonic clock.
         sent_at_ms: u64,
-        /// The record. Empty if there is none.
+        /// The record, empty if the store has none.
         record: HomeRecord,
-        /// Its version, 0 if there is none.
+        /// Modification revision of the record, 0 if the store has none.
         version: u64,
     },
-    /// Whether a write of the home weights was accepted. Not sent if that is unknown.
+    /// The store answered a write of the home weights. Not sent if the outcome is unknown.
     HomeWeightsWritten {
-        /// The version that was to be replaced.
+        /// The version that the write was to replace, 0 if it was to create the record.
         version: u64,
-        /// Whether it was.
+        /// Whether the record still had this version and was replaced.
         accepted: bool,
     },
-    /// The platform's list of leaving instances was read.
+    /// The platform's list of leaving instances was read. It holds instance names.
     LeavingInstancesRead(BTreeSet<String>),
-    /// An engine reported what it has loaded.
+    /// An engine reported the models and adapters that it has loaded or is loading.
     ModelsReported {
-        /// Name of the endpoint.
+        /// Name of the engine's endpoint.
         endpoint: String,
-        /// When the report was asked for.
+        /// When the report was requested, in milliseconds of this instance's monotonic clock.
         sent_at_ms: u64,
-        /// The report.
+        /// Models and adapters of the engine, with the fencing number of its last order.
         models: EngineModels,
     },
-    /// An engine answered an order, or the order failed.
+    /// An engine answered an order, or the request failed.
     OrderAnswered {
-        /// Name of the endpoint.
+        /// Name of the engine's endpoint.
         endpoint: String,
-        /// Fencing number of the order.
+        /// Fencing number of the order, from [`FleetEffect::SendOrder`].
         fencing: u64,
-        /// The answer.
+        /// Whether the engine took the order.
         answer: OrderAnswer,
     },
-    /// A message arrived from the named instance.
+    /// A message of a peer arrived.
     PeerMessage {
-        /// Name of the instance.
+        /// Name of the sending instance.
         from: String,
-        /// The message.
+        /// The decoded message.
         message: PeerMessage,
     },
-    /// Instances of these names may be reached, though none was heard of in a heartbeat.
+    /// Instances with these names can be reached. They were discovered without the store and
+    /// may not have sent a heartbeat yet.
     PeersDiscovered(Vec<String>),
-    /// The own registration was renewed.
+    /// The own registration was renewed in the store.
     RegistrationRenewed {
-        /// When the renewal was sent.
+        /// When the renewal was sent, in milliseconds of this instance's monotonic clock.
         sent_at_ms: u64,
     },
-    /// All registrations were read.
+    /// All registrations were read from the store.
     RegistrationsRead {
-        /// When the read was sent.
+        /// When the read was sent, in milliseconds of this instance's monotonic clock.
         sent_at_ms: u64,
-        /// The registered instances.
+        /// All registered instances, this one included if it is registered.
         registered: Vec<RegisteredInstance>,
-        /// The lease of the own registration, if there is one.
+        /// Lease of the own registration. `None` if this instance is not registered.
         own_lease: Option<i64>,
     },
-    /// A planned stop has begun. Calls still arrive.
+    /// A planned stop has begun. Calls still arrive and run.
     StopStarted,
-    /// All calls have ended, and no more will arrive: hand over and give back.
+    /// The last step of a planned stop: all calls have ended or were cut off, and no more will
+    /// arrive. Programs and idempotency keys can be handed over and rates returned.
     ServingEnded,
-    /// The cache tags that an engine holds.
+    /// An engine listed the cache tags that it holds, in answer to
+    /// [`FleetEffect::ListCacheTags`].
     CacheTagsListed {
-        /// Name of the endpoint.
+        /// Name of the engine's endpoint.
         endpoint: String,
-        /// The tags.
+        /// All tags of the engine. Those that are not tags of this system are ignored.
         tags: Vec<String>,
     },
-    /// A takeover record was read or created.
+    /// The store has a takeover record for an incarnation, created by this instance or by
+    /// another one.
     TakeoverRead {
-        /// The incarnation that is gone.
+        /// The incarnation whose programs have a new owner.
         of: Incarnation,
-        /// The record.
+        /// The record, which names the new owner.
         record: TakeoverRecord,
     },
-    /// A takeover record could be neither created nor read.
+    /// A takeover record could be neither created nor read, or the budget record of the
+    /// predecessor could not be read.
     TakeoverUnconfirmed {
-        /// The incarnation.
+        /// The incarnation whose programs cannot be served for now.
         of: Incarnation,
     },
-    /// Time passed.
+    /// Timer event that drives everything which depends on time.
     Tick,
 }
 
 impl FleetEvent {
-    /// Whether the event can change the budget of a program or decide about a call. Other
-    /// events arrive once a second from each peer, so they must not start a search; what
-    /// they change counts from the next tick on.
-    pub(crate) fn brings_decisions(&self) -> bool {
+    /// Whether the event can change the budget of a program or the admission of a call. After
+    /// such an event all programs and waiting calls are checked. The other events arrive once
+    /// a second from each peer, so they must not cause that check; their changes take effect
+    /// at the next tick.
+    pub(crate) fn affects_calls(&self) -> bool {
         !matches!(
             self,
             FleetEvent::StoreContactAge(_)
@@ -193,58 +208,67 @@
     }
 }
 
-/// What the shell carries out for the fleet step.
+/// An action that the caller of the state machine carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetEffect {
-    /// Create a takeover record unless there is one, and report the one that stands.
+    /// Create a takeover record in the store unless there is one already. Answered with
+    /// [`FleetEvent::TakeoverRead`], which carries the record that the store has then, or with
+    /// [`FleetEvent::TakeoverUnconfirmed`].
     ClaimTakeover {
-        /// The incarnation that is gone.
+        /// The incarnation whose programs are taken over.
         of: Incarnation,
         /// The record to create.
         record: TakeoverRecord,
     },
-    /// Read the budget record of an incarnation.
+    /// Read the budget record of an incarnation that this process succeeds. Answered with
+    /// [`FleetEvent::BudgetRead`], or with [`FleetEvent::TakeoverUnconfirmed`] if the read
+    /// fails.
     ReadBudget {
-        /// The incarnation.
+        /// The incarnation that wrote the record.
         of: Incarnation,
     },
-    /// Send a message to a peer. It may be lost.
+    /// Send a message to a peer. Delivery is not guaranteed.
     Send {
-        /// Name of the instance.
+        /// Name of the receiving instance.
         to: String,
-        /// The message.
+        /// The message to encode and send.
         message: PeerMessage,
     },
-    /// Drop a program's cache at an engine.
+    /// Tell an engine to drop the cache of a program that nobody uses any more.
     ReleaseCacheTag {
-        /// Name of the endpoint.
+        /// Name of the engine's endpoint.
         endpoint: String,
-        /// The program's cache tag.
+        /// Tag under which the engine keeps the program's cache.
         cache_tag: String,
     },
-    /// Send an order to an engine, and report with `OrderAnswered`.
+    /// Send an order to an engine. Answered with [`FleetEvent::OrderAnswered`].
     SendOrder {
-        /// Name of the endpoint.
+        /// Name of the engine's endpoint.
         endpoint: String,
-        /// Store revision of the record that justifies the order.
+        /// Store revision of the endpoint record that the order follows from. Engines that
+        /// check it refuse orders with a lower number than the last one.
         fencing: u64,
-        /// The order.
+        /// What the engine is to load, unload or change.
         order: EngineOrder,
     },
-    /// List the cache tags that an engine holds.
+    /// List the cache tags that an engine holds. Answered with
+    /// [`FleetEvent::CacheTagsListed`].
     ListCacheTags {
-        /// Name of the endpoint.
+        /// Name of the engine's endpoint.
         endpoint: String,
     },
-    /// Write the own budget record.
+    /// Write the own budget record. Answered with [`FleetEvent::BudgetWritten`].
     WriteBudget(BudgetRecord),
-    /// Write the home weights if the record still has this version, then read them.
+    /// Write the home weights if the record still has this version, then read them. Answered
+    /// with [`FleetEvent::HomeWeightsWritten`], unless the outcome is unknown, and
+    /// [`FleetEvent::HomeWeightsRead`].
     WriteHomeWeights {
-        /// The new record.
+        /// The record to write.
         record: HomeRecord,
-        /// The version it replaces, 0 if there is none.
+        /// Version that the write replaces, 0 to create the record.
         version: u64,
-        /// Instances that must not be registered, as conditions of the same transaction.
+        /// Names of instances whose registration must not exist, as conditions of the same
+        /// transaction.
         requires_absent: Vec<String>,
     },
 }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The state of the fleet step.
+//! [`FleetState`]: what one instance knows of the fleet and of its own programs, and the
+//! dispatch of events to the modules that handle them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -12,38 +13,41 @@
 use jayreel_scheduler::event::CallArrived;
 use jayreel_scheduler::program_admission::{ProgramCall, ProgramChanges};
 
-use crate::caretaker::Caretaker;
+use crate::cache_sweep::CacheSweep;
 use crate::event::{FleetEffect, FleetEvent};
 use crate::home::HomeShare;
-use crate::model_care::ModelCare;
+use crate::model_reconciler::ModelReconciler;
 use crate::settings::FleetSettings;
 use crate::stop::StopState;
 
-/// Time between a failed write of grants and the next attempt.
-const GRANT_RETRY_MS: u64 = 500;
+/// Time between a failed write of the budget record and the next attempt.
+const BUDGET_WRITE_RETRY_MS: u64 = 500;
 
-/// Without an answer of the store for this long an instance counts as cut off. Longer than
-/// the interval of the polls, 2 s.
-const OUTAGE_AFTER_MS: u64 = 3_000;
+/// After this time without an answer the store counts as unreachable. It is longer than the
+/// interval of 2 s at which the store is polled.
+const STORE_OUTAGE_AFTER_MS: u64 = 3_000;
 
-/// A call that was told to wait or to proceed.
+/// A call that was admitted or waits for its admission, until [`ProgramAdmission::end`].
+///
+/// [`ProgramAdmission::end`]: jayreel_scheduler::program_admission::ProgramAdmission::end
 #[derive(Clone, Debug)]
 pub(crate) enum PendingCall {
-    /// Has an idempotency key but no program.
+    /// Has an idempotency key and no program.
     Keyed,
-    /// Belongs to a program.
+    /// Belongs to a program of this process.
     Program {
         program: ProgramId,
-        /// What the caller asked for, `None` for plain services.
+        /// The caller's token limit under its profile. `None` for plain services.
         max_tokens: Option<u64>,
     },
-    /// Waits until the successor of an incarnation is known.
+    /// Belongs to a program whose owner is gone. Waits until its successor is known.
     Takeover { of: Incarnation },
 }
 
-/// A call that is decided again once the successor of an incarnation is known.
+/// An owned copy of [`ProgramCall`]. It can wait until the successor of a program's owner is
+/// known and then be decided again.
 #[derive(Clone, Debug)]
-pub(crate) struct HeldCall {
+pub(crate) struct OwnedProgramCall {
     pub(crate) arrived: CallArrived,
     pub(crate) customer: Option<String>,
     pub(crate) profile_name: String,
@@ -52,9 +56,9 @@
     pub(crate) repeatable: bool,
 }
 
-impl HeldCall {
-    pub(crate) fn new(call: &ProgramCall<'_>) -> HeldCall {
-        HeldCall {
+impl OwnedProgramCall {
+    pub(crate) fn new(call: &ProgramCall<'_>) -> OwnedProgramCall {
+        OwnedProgramCall {
             arrived: call.arrived.clone(),
             customer: call.customer.map(str::to_string),
             profile_name: call.profile_name.to_string(),
@@ -65,53 +69,57 @@
     }
 }
 
-/// Both admission steps, with the knowledge of the fleet that they share.
+/// The part of an instance's state that concerns the fleet. It implements the scheduler's
+/// program and quota admission.
 #[derive(Debug)]
-pub struct Fleet {
+pub struct FleetState {
     pub(crate) settings: FleetSettings,
     pub(crate) configuration: Option<Arc<Configuration>>,
     pub(crate) programs: Programs,
     pub(crate) keyed: KeyedCalls,
     pub(crate) takeovers: Takeovers,
-    /// Another process has taken over all programs of this one, which was cut off.
+    /// Whether another process has taken over all programs of this one, because this one was
+    /// unreachable.
     pub(crate) superseded: bool,
     pub(crate) membership: Membership,
     pub(crate) quota: Quota,
     pub(crate) home: HomeShare,
     pub(crate) stop: StopState,
-    pub(crate) caretaker: Caretaker,
-    pub(crate) model_care: ModelCare,
-    /// Calls between their admission and their end.
+    pub(crate) cache_sweep: CacheSweep,
+    pub(crate) model_reconciler: ModelReconciler,
+    /// Calls that were admitted or wait for a decision, until they end.
     pub(crate) calls: HashMap<RequestId, PendingCall>,
-    /// Calls in the scheduler's queues at the last tick, for heartbeats.
+    /// Number of calls in the scheduler's queues at the last tick. Reported in heartbeats.
     pub(crate) waiting_calls: u32,
-    /// Calls that wait for the successor of an incarnation.
-    pub(crate) held: BTreeMap<Incarnation, Vec<HeldCall>>,
-    pub(crate) next_lender: usize,
-    /// Earliest time of the next write of grants, after a failed one.
-    next_grant_write_ms: u64,
-    /// Whether a program may need a larger grant since the last search for one.
+    /// Calls that wait for a successor, by the incarnation that owned their program.
+    pub(crate) awaiting_takeover: BTreeMap<Incarnation, Vec<OwnedProgramCall>>,
+    /// Index of the peer that was last asked for a loan, among the live peers.
+    pub(crate) last_lender: usize,
+    /// Earliest time of the next write of the budget record, after a failed one.
+    next_budget_write_ms: u64,
+    /// Whether a program may need a larger grant than at the last check of all programs.
     pub(crate) may_need_grant: bool,
-    /// When idle programs are looked for again.
+    /// Time of the next check for idle programs.
     pub(crate) next_expiry_ms: u64,
-    /// Age of the store contact behind the configuration, and when it was told.
-    contact: Option<(u64, u64)>,
+    /// Age of the store contact behind the configuration, and when this age was reported.
+    store_contact: Option<(u64, u64)>,
     pub(crate) changes: ProgramChanges,
     pub(crate) effects: Vec<FleetEffect>,
-    /// Wall-clock time at `now_ms` 0, for the validity of tokens only.
+    /// Unix time at `now_ms` 0. Used only for the validity of program tokens.
     unix_ms_at_zero: u64,
+    /// Time of the event that is being applied, or of the last one.
     pub(crate) last_now_ms: u64,
 }
 
-impl Fleet {
-    /// The step of a process that has just started. `unix_ms_at_zero` is the wall-clock
-    /// time at which the monotonic clock was 0.
-    pub fn new(settings: FleetSettings, unix_ms_at_zero: u64) -> Fleet {
+impl FleetState {
+    /// The state of a process that has just started. `unix_ms_at_zero` is the Unix time in
+    /// milliseconds at which the monotonic clock was 0.
+    pub fn new(settings: FleetSettings, unix_ms_at_zero: u64) -> FleetState {
         let own = settings.own.clone();
         let mut quota_settings = QuotaSettings::new(own.to_string());
         quota_settings.loan_term_ms = settings.loan_term_ms;
         quota_settings.dispatch_deadline_ms = settings.dispatch_deadline_ms;
-        Fleet {
+        FleetState {
             configuration: None,
             programs: Programs::new(ProgramsConfig {
                 own: own.clone(),
@@ -130,14 +138,14 @@
             quota: Quota::new(quota_settings),
             home: HomeShare::default(),
             stop: StopState::default(),
-            caretaker: Caretaker::default(),
-            model_care: ModelCare::default(),
-            contact: None,
+            cache_sweep: CacheSweep::default(),
+            model_reconciler: ModelReconciler::default(),
+            store_contact: None,
             calls: HashMap::new(),
             waiting_calls: 0,
-            held: BTreeMap::new(),
-            next_lender: 0,
-            next_grant_write_ms: 0,
+            awaiting_takeover: BTreeMap::new(),
+            last_lender: 0,
+            next_budget_write_ms: 0,
             may_need_grant: false,
             next_expiry_ms: 0,
             changes: ProgramChanges::default(),
@@ -148,39 +156,40 @@
         }
     }
 
-    /// Applies one event.
+    /// Applies one event at `now_ms`, in milliseconds of the monotonic clock. The resulting
+    /// effects are returned by [`FleetState::take_effects`].
     pub fn apply(&mut self, now_ms: u64, event: FleetEvent) {
         self.last_now_ms = now_ms;
-        self.may_need_grant |= event.brings_decisions();
+        self.may_need_grant |= event.affects_calls();
         match event {
             FleetEvent::BudgetRead { of, record } => self.budget_read(now_ms, of, record),
             FleetEvent::ConfigurationChanged(configuration) => {
-                self.forget_moved_engines(&configuration);
+                self.forget_readdressed_engines(&configuration);
                 self.configuration = Some(configuration);
             }
             FleetEvent::StoreContactAge(age_ms) => {
-                self.contact = age_ms.map(|age_ms| (age_ms, now_ms));
+                self.store_contact = age_ms.map(|age_ms| (age_ms, now_ms));
             }
             FleetEvent::BudgetWritten { record, confirmed } => {
-                let transition = match confirmed {
+                let effects = match confirmed {
                     true => self.programs.budget_record_written(&record),
                     false => {
-                        self.next_grant_write_ms = now_ms + GRANT_RETRY_MS;
+                        self.next_budget_write_ms = now_ms + BUDGET_WRITE_RETRY_MS;
                         self.programs.budget_record_failed()
                     }
                 };
-                self.record(transition);
-                self.last_grants_written(&record);
+                self.apply_program_effects(effects);
+                self.final_grants_written(&record);
             }
             FleetEvent::HomeWeightsRead {
                 sent_at_ms,
                 record,
                 version,
             } => {
-                self.home_read(now_ms, sent_at_ms, record, version);
+                self.home_weights_read(now_ms, sent_at_ms, record, version);
             }
             FleetEvent::HomeWeightsWritten { version, accepted } => {
-                self.home_written(version, accepted);
+                self.home_weights_written(version, accepted);
             }
             FleetEvent::LeavingInstancesRead(names) => {
                 self.membership.set_listed_leaving(names);
@@ -198,7 +207,7 @@
             FleetEvent::PeerMessage { from, message } => {
                 self.peer_message(now_ms, from, message);
             }
-            FleetEvent::PeersDiscovered(names) => self.greet(names),
+            FleetEvent::PeersDiscovered(names) => self.send_first_heartbeats(names),
             FleetEvent::RegistrationRenewed { sent_at_ms } => {
                 self.registration_renewed(now_ms, sent_at_ms);
             }
@@ -223,14 +232,13 @@
         }
     }
 
-    /// Returns and forgets the effects since the last call.
+    /// Returns the effects of the events since the last call, in order.
     pub fn take_effects(&mut self) -> Vec<FleetEffect> {
-        // The search visits every program, so events that cannot change their budgets
-        // leave it out.
-        // After a failed write the calls wait for the next attempt. Without the pause a store
-        // that refuses connections was asked once a millisecond.
-        let is_paused = self.last_now_ms < self.next_grant_write_ms;
-        if !is_paused && std::mem::take(&mut self.may_need_grant) {
+        // The check visits every program, so it runs only after events that may change a
+        // budget. After a failed write the calls wait for the next attempt: without this delay
+        // a store that refused connections received a write every millisecond.
+        let is_delayed = self.last_now_ms < self.next_budget_write_ms;
+        if !is_delayed && std::mem::take(&mut self.may_need_grant) {
             let record = self.programs.next_budget_record();
             self.effects.extend(record.map(FleetEffect::WriteBudget));
         }
@@ -242,28 +250,31 @@
         self.send_returns(ended);
         self.quota.expire(now_ms);
         self.send_heartbeats(now_ms);
-        self.plan_home(now_ms);
+        self.update_home_share(now_ms);
         self.continue_stop(now_ms);
-        self.sweep(now_ms);
-        self.order_models(now_ms);
+        self.sweep_cache_tags(now_ms);
+        self.reconcile_models(now_ms);
     }
 
-    /// Sets the time of the event that the scheduler applies next.
+    /// Sets the time of an event that only the scheduler applies. Token checks and queries of
+    /// the live peers during that event use it.
     pub(crate) fn set_now(&mut self, now_ms: u64) {
         self.last_now_ms = now_ms;
     }
 
-    /// Sets the number of calls in the scheduler's queues.
+    /// Sets the number of calls in the scheduler's queues, for the next heartbeats.
     pub(crate) fn set_waiting_calls(&mut self, count: usize) {
         self.waiting_calls = u32::try_from(count).unwrap_or(u32::MAX);
     }
 
-    /// Whether calls can get a part of their customer's rate: from the home share, or on
-    /// loan from a live peer that has one by the record. A live peer alone is not enough:
-    /// in a new fleet nobody may have a share yet, and if the store is then cut off,
-    /// nobody gets one. It is enough for a process that starts while the store does not
-    /// answer, because its fleet has run before.
-    pub fn has_share(&mut self, now_ms: u64) -> bool {
+    /// Whether calls can use a part of their customer's rate: this instance has a home share
+    /// in force, or a live peer holds one by the record and can lend from it.
+    ///
+    /// A live peer without a recorded share is not enough: in a new fleet no instance may have
+    /// a share yet, and if the store becomes unreachable then, none gets one. It is enough for
+    /// a process that starts while the store does not answer, because other processes of its
+    /// fleet ran before the outage.
+    pub fn is_ready(&mut self, now_ms: u64) -> bool {
         let has_customers = match &self.configuration {
             None => return false,
             Some(configuration) => !configuration.customers.is_empty(),
@@ -275,14 +286,16 @@
                 && !self.membership.live_peers(now_ms).is_empty())
     }
 
-    /// Whether this process has read nothing and knows that the store does not answer.
+    /// Whether this process has not read the registrations since its start and the store has
+    /// not answered for [`STORE_OUTAGE_AFTER_MS`].
     fn started_in_outage(&self, now_ms: u64) -> bool {
         let contact_age_ms = self.contact_age_ms(now_ms);
         !self.membership.registrations().were_read()
-            && contact_age_ms.is_some_and(|age_ms| age_ms >= OUTAGE_AFTER_MS)
+            && contact_age_ms.is_some_and(|age_ms| age_ms >= STORE_OUTAGE_AFTER_MS)
     }
 
-    /// The home weight in force. It is the same for all customers.
+    /// Home weight in force, in parts per million. It is the same for all customers, so the
+    /// first one is asked.
     pub(crate) fn home_in_force_ppm(&mut self, now_ms: u64) -> u32 {
         let configuration = self.configuration.as_ref();
         let customer = configuration.and_then(|c| c.customers.keys().next());
@@ -291,19 +304,20 @@
         share.map_or(0, |share| share.home_ppm)
     }
 
-    /// Age of the store contact behind the configuration. It grows while the thread that
-    /// tells it waits for a silent store; otherwise peers would keep each other fresh.
+    /// Age of the store contact behind the configuration, in milliseconds. It keeps growing
+    /// while the thread that reports it is blocked by a store that does not answer. Otherwise
+    /// two such instances would report a recent contact to each other without end.
     pub(crate) fn contact_age_ms(&self, now_ms: u64) -> Option<u64> {
-        let (age_ms, told_at_ms) = self.contact?;
-        Some(age_ms + now_ms.saturating_sub(told_at_ms))
+        let (age_ms, reported_at_ms) = self.store_contact?;
+        Some(age_ms + now_ms.saturating_sub(reported_at_ms))
     }
 
-    /// Number of live instances and the position of this one among them.
+    /// Number of live instances and the index of this one among them, sorted by name.
     pub(crate) fn position(&self, now_ms: u64) -> (u32, u32) {
         self.membership.position(now_ms)
     }
 
-    /// Wall-clock seconds, for the validity of tokens only.
+    /// Unix time in seconds. Used only for the validity of program tokens.
     pub(crate) fn now_unix_s(&self, now_ms: u64) -> u64 {
         (self.unix_ms_at_zero + now_ms) / 1_000
     }
--- a/crates/fleet/src/home.rs
+++ b/crates/fleet/src/home.rs
@@ -1,4 +1,6 @@
-//! The instance's home share of all customers' rates.
+//! The home share: the part of every customer's rate that this instance may use by the record
+//! of home weights in the store. Each instance moves towards an even share by rewriting that
+//! record.
 
 use std::collections::BTreeMap;
 
@@ -9,31 +11,37 @@
 };
 
 use crate::event::FleetEffect;
-use crate::fleet::Fleet;
+use crate::fleet::FleetState;
 
-/// What is known of the home weights in the store.
+/// What this instance knows of the home weights in the store, and of its own writes to them.
 #[derive(Debug, Default)]
 pub(crate) struct HomeShare {
-    /// The newest record with its version. `None` until it was read.
-    read: Option<(HomeRecord, u64)>,
-    /// The version on which the last write was based, whatever its outcome.
+    /// The newest record that was read, with its version. `None` before the first read and
+    /// after a lapse of the home share.
+    latest_record: Option<(HomeRecord, u64)>,
+    /// The version on which the last write was based, whatever its outcome. `None` if there
+    /// was no write since the start or since a lapse of the home share.
     last_write_on: Option<u64>,
-    /// A write was asked for, and the record was not read since.
-    writing: bool,
+    /// Whether a write was requested and the record has not been read since.
+    write_in_flight: bool,
+    /// Finds holders that have been gone for so long that their weight can be reclaimed.
     absence: AbsenceTracker,
+    /// Registered instances that are not leaving, by name.
     registered: BTreeMap<String, Incarnation>,
-    /// The lease of the own registration in the last read.
+    /// Lease of the own registration in the last read. `None` if it was not registered.
     pub(crate) own_lease: Option<i64>,
     /// When the last read of the registrations was sent.
     registered_at_ms: Option<u64>,
     /// When the last successful renewal of the own registration was sent.
     renewed_at_ms: Option<u64>,
+    /// Whether a planned stop is giving up the home share.
     stopping: bool,
 }
 
-impl Fleet {
-    /// Takes note of the record.
-    pub(crate) fn home_read(
+impl FleetState {
+    /// Handles a read of the record, which was sent at `sent_at_ms`. Ignores it if a newer
+    /// version is known.
+    pub(crate) fn home_weights_read(
         &mut self,
         now_ms: u64,
         sent_at_ms: u64,
@@ -42,7 +50,7 @@
     ) {
         let is_older = self
             .home
-            .read
+            .latest_record
             .as_ref()
             .is_some_and(|(_, known)| version < *known);
         if is_older {
@@ -50,44 +58,45 @@
         }
         let registered = &self.home.registered;
         self.home.absence.observe(sent_at_ms, &record, registered);
-        self.home.read = Some((record, version));
-        self.home.writing = false;
-        self.update_keyed();
-        self.plan_home(now_ms);
+        self.home.latest_record = Some((record, version));
+        self.home.write_in_flight = false;
+        self.update_keyed_responsibility();
+        self.update_home_share(now_ms);
     }
 
-    /// The other registered processes that are not leaving.
+    /// The other registered processes that are not leaving, by instance name.
     pub(crate) fn registered_peers(&self) -> BTreeMap<String, Incarnation> {
         let mut peers = self.home.registered.clone();
         peers.remove(&self.settings.own.instance);
         peers
     }
 
-    /// Takes note of the outcome of a write. Whoever replaced version 0 created the record.
-    pub(crate) fn home_written(&mut self, version: u64, accepted: bool) {
+    /// Handles the outcome of a write. The process whose write replaced version 0 has created
+    /// the record, so no process of the fleet ran before it.
+    pub(crate) fn home_weights_written(&mut self, version: u64, accepted: bool) {
         if accepted && version == 0 {
             self.keyed.assume_founder();
         }
     }
 
-    /// Takes note of the registered instances that are not leaving, as read by a request
-    /// sent at `sent_at_ms`.
-    pub(crate) fn home_registrations(
+    /// Sets the registered instances that are not leaving, as read by a request sent at
+    /// `sent_at_ms`.
+    pub(crate) fn set_home_registrations(
         &mut self,
         sent_at_ms: u64,
         registered: BTreeMap<String, Incarnation>,
     ) {
         self.home.registered = registered;
         self.home.registered_at_ms = Some(sent_at_ms);
-        self.update_keyed();
+        self.update_keyed_responsibility();
     }
 
-    /// Tells which instances are responsible for idempotency keys without a program: the
-    /// founder of the fleet while it is registered, because it remembers all keys, else
-    /// all registered ones.
-    fn update_keyed(&mut self) {
+    /// Updates which instances are responsible for idempotency keys of calls without a program.
+    /// That is the process that created the home record, while it is registered, because it
+    /// knows all keys; otherwise all registered instances.
+    fn update_keyed_responsibility(&mut self) {
         let (Some((record, 1..)), Some(sent_at_ms)) =
-            (&self.home.read, self.home.registered_at_ms)
+            (&self.home.latest_record, self.home.registered_at_ms)
         else {
             return;
         };
@@ -107,22 +116,23 @@
             .registrations_read(sent_at_ms, processes, own_lease);
     }
 
-    /// The home share may be used for one more term.
+    /// Extends the validity of the home share to one term after the renewal of the own
+    /// registration, which was sent at `sent_at_ms`.
     pub(crate) fn registration_renewed(&mut self, now_ms: u64, sent_at_ms: u64) {
         self.home.renewed_at_ms = self.home.renewed_at_ms.max(Some(sent_at_ms));
-        if let Some(until_ms) = self.home_valid_until_ms() {
-            // After a lapse the weight may have been reclaimed: only a record that is read
-            // from now on tells what this process still has.
+        if let Some(until_ms) = self.home_share_valid_until_ms() {
+            // The home share had lapsed, and its weight may have been reclaimed since. Only a
+            // record that is read from now on shows what this process still holds.
             if !self.quota.renew_home(now_ms, until_ms) {
-                self.home.read = None;
+                self.home.latest_record = None;
                 self.home.last_write_on = None;
             }
         }
     }
 
-    /// Whether a live peer holds a home weight by the record as last read.
+    /// Whether a live peer holds a home weight by the newest record that was read.
     pub(crate) fn has_live_holder(&self, now_ms: u64) -> bool {
-        let Some((record, _)) = &self.home.read else {
+        let Some((record, _)) = &self.home.latest_record else {
             return false;
         };
         let own = &self.settings.own;
@@ -132,36 +142,37 @@
         })
     }
 
-    /// Begins to give the home share back.
-    pub(crate) fn stop_home(&mut self) {
+    /// Makes the following calls of [`FleetState::update_home_share`] give up the home share.
+    pub(crate) fn release_home_share(&mut self) {
         self.home.stopping = true;
     }
 
-    /// Whether the planned stop has given the home share back.
-    pub(crate) fn home_released(&self) -> bool {
+    /// Whether this instance holds no home weight by the newest record that was read.
+    pub(crate) fn is_home_share_released(&self) -> bool {
         let name = &self.settings.own.instance;
-        let record = self.home.read.as_ref();
+        let record = self.home.latest_record.as_ref();
         record.is_none_or(|(record, _)| record.weight_ppm(name) == 0)
     }
 
-    /// Does the next step towards an even share.
-    pub(crate) fn plan_home(&mut self, now_ms: u64) {
-        let Some(valid_until_ms) = self.home_valid_until_ms() else {
+    /// Takes the next step towards an even share, or during a planned stop towards none: puts
+    /// a weight that was read in force, or writes a changed record.
+    pub(crate) fn update_home_share(&mut self, now_ms: u64) {
+        let Some(valid_until_ms) = self.home_share_valid_until_ms() else {
             return;
         };
-        let Some((record, version)) = self.home.read.clone() else {
+        let Some((record, version)) = self.home.latest_record.clone() else {
             return;
         };
         let name = &self.settings.own.instance;
         let registered = self.home.registered.contains_key(name);
-        if self.home.writing || !(registered || self.home.stopping) {
+        if self.home.write_in_flight || !(registered || self.home.stopping) {
             return;
         }
         let owner = HomeOwner {
             incarnation: self.settings.own.clone(),
             address: self.settings.peer_address.clone(),
         };
-        // A step that changes only local state is followed by another one.
+        // A step that only puts a weight in force may be followed by a write.
         for _ in 0..2 {
             let step = plan(&HomeView {
                 own: &owner,
@@ -190,21 +201,21 @@
                     record,
                     requires_absent,
                 } => {
-                    self.write_home(record, version, requires_absent);
+                    self.write_home_weights(record, version, requires_absent);
                     return;
                 }
             }
         }
     }
 
-    fn write_home(
+    fn write_home_weights(
         &mut self,
         record: HomeRecord,
         version: u64,
         requires_absent: Vec<String>,
     ) {
         self.home.last_write_on = Some(version);
-        self.home.writing = true;
+        self.home.write_in_flight = true;
         self.effects.push(FleetEffect::WriteHomeWeights {
             record,
             version,
@@ -212,7 +223,9 @@
         });
     }
 
-    fn home_valid_until_ms(&self) -> Option<u64> {
+    /// When the home share expires unless the registration is renewed again. `None` before
+    /// the first renewal.
+    fn home_share_valid_until_ms(&self) -> Option<u64> {
         let renewed_at_ms = self.home.renewed_at_ms?;
         Some(renewed_at_ms + self.settings.home_term_ms)
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,22 +1,24 @@
-//! What an instance decides together with the rest of the fleet: who owns a program, how
-//! much of a customer's rate is here, and which peers are alive.
+//! Decisions that an instance takes together with its peers: which instance serves a
+//! program, how much of each customer's rate this instance may use, which peers are alive
+//! and which models the engines load.
 //!
-//! [`Reducer`] joins it with the scheduler to the one reducer of an instance. All of it is
-//! pure: messages and store results come in as [`FleetEvent`]s, and what is to be sent or
-//! written goes out as [`FleetEffect`]s.
+//! [`Reducer`] combines these decisions with the scheduler into the state machine of one
+//! instance. It does no I/O and reads no clock: messages from peers and results from the
+//! store arrive as [`FleetEvent`]s, and messages and writes leave as [`FleetEffect`]s, which
+//! the caller carries out.
 
-mod caretaker;
+mod cache_sweep;
 mod engine_state;
 mod event;
 mod fleet;
 mod home;
-mod keyed_stop;
-mod model_care;
-mod model_orders;
-mod owners;
+mod keyed_handover;
+mod model_diff;
+mod model_reconciler;
+mod ownership;
 mod peers;
-mod program_step;
-mod quota_step;
+mod program_admission;
+mod quota_admission;
 mod reducer;
 mod settings;
 mod status;
@@ -26,7 +28,7 @@
 
 pub use crate::engine_state::OrderAnswer;
 pub use crate::event::{FleetEffect, FleetEvent, PeerMessage, RegisteredInstance};
-pub use crate::fleet::Fleet;
+pub use crate::fleet::FleetState;
 pub use crate::reducer::{Input, Output, Reducer};
 pub use crate::settings::FleetSettings;
 pub use crate::status::{FleetStatus, PeerStatus};
--- a/crates/fleet/src/model_orders.rs
+++ b/crates/fleet/src/model_diff.rs
@@ -1,16 +1,18 @@
-//! What an engine has loaded, compared with what its record wants. Pure comparison without
-//! state.
+//! Compares what an engine has loaded with what its endpoint record names. Stateless.
 
 use std::collections::BTreeSet;
 
 use jayreel_model::{Endpoint, EngineModels, EngineOrder, LoadState};
 
-/// The orders that lead from the report to the record. Each may be sent without the ones
-/// before it, so one that has to wait holds up none.
+/// The orders that make the engine match its record. Each may be sent without the ones before
+/// it, so an order that has to wait does not delay the others.
 ///
 /// A version is unloaded only if the wanted one is loaded, and a model only after its
-/// adapters. While the record names no version, all loaded versions stay.
-pub(crate) fn orders(wanted: &Endpoint, report: &EngineModels) -> Vec<EngineOrder> {
+/// adapters. While the record names no version of a model, all its loaded versions stay.
+pub(crate) fn required_orders(
+    wanted: &Endpoint,
+    report: &EngineModels,
+) -> Vec<EngineOrder> {
     let mut orders = unneeded_adapters(wanted, report);
     orders.extend(unneeded_models(wanted, report));
     orders.extend(missing_models(wanted, report));
@@ -19,7 +21,8 @@
     orders
 }
 
-/// The names by which calls use what the order unloads. Empty for a load.
+/// Names of the models and adapters whose calls use what the order unloads. A model is also
+/// used by calls of its adapters, loaded or configured. Empty for other orders.
 pub(crate) fn used_by(
     order: &EngineOrder,
     wanted: &Endpoint,
@@ -40,6 +43,7 @@
     }
 }
 
+/// Unloads of the adapters that the record does not name for their model.
 fn unneeded_adapters(wanted: &Endpoint, report: &EngineModels) -> Vec<EngineOrder> {
     let unneeded = report
         .adapters
@@ -53,6 +57,7 @@
         .collect()
 }
 
+/// Unloads of the models that the record does not name and that have no adapter loaded.
 fn unneeded_models(wanted: &Endpoint, report: &EngineModels) -> Vec<EngineOrder> {
     let has_adapter =
         |model: &String| report.adapters.iter().any(|one| one.model == *model);
@@ -68,6 +73,8 @@
         .collect()
 }
 
+/// Loads of the models in the record that are neither loaded nor loading in the wanted
+/// version. If the record names no version, any version will do.
 fn missing_models(wanted: &Endpoint, report: &EngineModels) -> Vec<EngineOrder> {
     let missing = wanted.models.iter().filter(|model| {
         let version = wanted.versions.get(*model);
@@ -83,6 +90,8 @@
         .collect()
 }
 
+/// Loads of the adapters in the record that are neither loaded nor loading and whose model is
+/// loaded.
 fn missing_adapters(wanted: &Endpoint, report: &EngineModels) -> Vec<EngineOrder> {
     let is_loaded = |model: &String| {
         let mut models = report.models.iter();
@@ -101,17 +110,20 @@
         .collect()
 }
 
+/// Unloads of all other versions of the models whose wanted version is loaded.
 fn old_versions(wanted: &Endpoint, report: &EngineModels) -> Vec<EngineOrder> {
     let is_replaced = |model: &String, version: &Option<String>| {
-        let Some(new) = wanted.versions.get(model) else {
+        let Some(wanted_version) = wanted.versions.get(model) else {
             return false;
         };
-        let has_new = report.models.iter().any(|one| {
+        let has_wanted_version = report.models.iter().any(|one| {
             one.model == *model
-                && one.version.as_ref() == Some(new)
+                && one.version.as_ref() == Some(wanted_version)
                 && one.state == LoadState::Loaded
         });
-        wanted.models.contains(model) && version.as_ref() != Some(new) && has_new
+        wanted.models.contains(model)
+            && version.as_ref() != Some(wanted_version)
+            && has_wanted_version
     };
     let old = report
         .models
--- a/crates/fleet/src/owners.rs
+++ b/crates/fleet/src/ownership.rs
@@ -1,4 +1,4 @@
-//! Which instance serves a program.
+//! The decision which instance serves the calls of a program.
 
 use jayreel_membership::{Liveness, Membership};
 use jayreel_model::Incarnation;
@@ -8,15 +8,15 @@
 
 use jayreel_programs::ownership::decide;
 
-use crate::fleet::Fleet;
+use crate::fleet::FleetState;
 
-/// Membership at one moment.
-struct Facts<'a> {
+/// What is known of the peers at one time, in the form that `decide` needs.
+struct MembershipSnapshot<'a> {
     membership: &'a Membership,
     now_ms: u64,
 }
 
-impl OwnerLookup for Facts<'_> {
+impl OwnerLookup for MembershipSnapshot<'_> {
     fn owner(&self, incarnation: &Incarnation) -> OwnerStatus {
         let liveness = match self.membership.liveness(self.now_ms, incarnation) {
             Liveness::Alive => OwnerLiveness::Alive,
@@ -32,22 +32,23 @@
     }
 }
 
-impl Fleet {
-    /// Where the calls of a program are served that `owner` opened.
-    pub(crate) fn owner_of(
+impl FleetState {
+    /// Where a call is served whose program was opened by `owner`: here, at another instance,
+    /// or after a takeover. A forwarded call is not forwarded again.
+    pub(crate) fn ownership_decision(
         &self,
         now_ms: u64,
         owner: &Incarnation,
         was_forwarded: bool,
     ) -> Decision {
-        let facts = Facts {
+        let owners = MembershipSnapshot {
             membership: &self.membership,
             now_ms,
         };
         let view = OwnershipView {
             own: &self.settings.own,
             takeovers: &self.takeovers,
-            owners: &facts,
+            owners: &owners,
             takeover_delay_ms: self.settings.takeover_delay_ms,
         };
         decide(view, owner, was_forwarded)
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -1,4 +1,4 @@
-//! Messages to and from peers.
+//! Messages to and from peers, and the registrations that tell which peers exist.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 use jayreel_model::Incarnation;
 
 use crate::event::{FleetEffect, PeerMessage, RegisteredInstance};
-use crate::fleet::Fleet;
+use crate::fleet::FleetState;
 
-impl Fleet {
-    /// Applies a message of a peer.
+impl FleetState {
+    /// Applies a message of the peer `from` and sends the answer, if the message has one.
     pub(crate) fn peer_message(
         &mut self,
         now_ms: u64,
@@ -17,7 +17,9 @@
         message: PeerMessage,
     ) {
         match message {
-            PeerMessage::CacheTagsOwned(owned) => self.tags_owned(&from, &owned),
+            PeerMessage::CacheTagsOwned(owned) => {
+                self.release_unowned_tags(&from, &owned)
+            }
             PeerMessage::CacheTagQuery(tags) => {
                 let owned = self.owned_tags(now_ms, tags);
                 self.send(from, PeerMessage::CacheTagsOwned(owned));
@@ -26,7 +28,7 @@
                 self.take_handover(now_ms, *handover);
                 self.send(from, PeerMessage::HandoverTaken);
             }
-            PeerMessage::HandoverTaken => self.part_taken(now_ms),
+            PeerMessage::HandoverTaken => self.handover_part_confirmed(now_ms),
             PeerMessage::Heartbeat(heartbeat) => {
                 self.membership.record_heartbeat(now_ms, &heartbeat);
                 let answer = self.heartbeat();
@@ -41,7 +43,7 @@
                 self.send(from, PeerMessage::KeyedHandoverTaken { part });
             }
             PeerMessage::KeyedHandoverTaken { part } => {
-                self.keyed_part_taken(now_ms, &from, part);
+                self.keyed_part_confirmed(now_ms, &from, part);
             }
             PeerMessage::LoanGrant(grant) => {
                 self.quota.receive(now_ms, grant);
@@ -53,11 +55,12 @@
             PeerMessage::LoanReturn(returned) => {
                 self.quota.accept_return(now_ms, &returned);
             }
-            PeerMessage::Takeover { of, record } => self.takeover_told(of, &record),
+            PeerMessage::Takeover { of, record } => self.takeover_announced(of, &record),
         }
     }
 
-    /// Takes note of the registrations.
+    /// Updates membership and home share with the registrations, as read by a request sent at
+    /// `sent_at_ms`. Leaving instances get no home share.
     pub(crate) fn registrations_read(
         &mut self,
         now_ms: u64,
@@ -70,8 +73,8 @@
             .collect();
         self.membership
             .record_registrations(now_ms, sent_at_ms, &processes);
-        let staying = registered.iter().filter(|entry| !entry.leaving);
-        let by_name: BTreeMap<String, Incarnation> = staying
+        let not_leaving = registered.iter().filter(|entry| !entry.leaving);
+        let by_name: BTreeMap<String, Incarnation> = not_leaving
             .map(|entry| {
                 (
                     entry.incarnation.instance.clone(),
@@ -79,10 +82,10 @@
                 )
             })
             .collect();
-        self.home_registrations(sent_at_ms, by_name);
+        self.set_home_registrations(sent_at_ms, by_name);
     }
 
-    /// Sends the heartbeats that are due.
+    /// Sends a heartbeat to each peer that is due for one.
     pub(crate) fn send_heartbeats(&mut self, now_ms: u64) {
         for peer in self.membership.due_heartbeats(now_ms) {
             let heartbeat = self.heartbeat();
@@ -90,9 +93,10 @@
         }
     }
 
-    /// Sends a first heartbeat to peers that were found without the store. They learn this
-    /// process from it, and their answers tell which processes they are.
-    pub(crate) fn greet(&mut self, names: Vec<String>) {
+    /// Sends a heartbeat to peers that were discovered without the store and have not been
+    /// heard of. They learn of this process from it, and their answers carry their
+    /// incarnations.
+    pub(crate) fn send_first_heartbeats(&mut self, names: Vec<String>) {
         for name in names {
             if self.membership.incarnation(&name).is_none() {
                 let heartbeat = self.heartbeat();
@@ -101,11 +105,12 @@
         }
     }
 
-    /// Names of peers that may lend, own availability zone first.
-    pub(crate) fn lenders(&self) -> Vec<String> {
+    /// Names of the live peers, those in the own availability zone first.
+    pub(crate) fn live_peers(&self) -> Vec<String> {
         self.membership.live_peers(self.last_now_ms)
     }
 
+    /// Queues a message to a peer.
     pub(crate) fn send(&mut self, to: String, message: PeerMessage) {
         self.effects.push(FleetEffect::Send { to, message });
     }
--- a/crates/fleet/src/program_step.rs
+++ b/crates/fleet/src/program_admission.rs
@@ -1,4 +1,5 @@
-//! The program step: tokens, ownership, order and budget.
+//! Program admission: checks a call's program token, decides which instance serves the
+//! program, and admits the call by the program's order, budget and idempotency keys.
 
 use jayreel_model::{Incarnation, Profile, Ran, Refusal, RefusalReason, RequestId};
 use jayreel_programs::{
@@ -12,28 +13,28 @@
     ProgramGrant, ProgramIdentity,
 };
 
-use crate::fleet::{Fleet, HeldCall, PendingCall};
+use crate::fleet::{FleetState, OwnedProgramCall, PendingCall};
 
-/// Time between two searches for idle programs. A search visits every program, and this
-/// step runs on every event.
+/// Time between two checks for idle programs. A check visits every program, and
+/// [`FleetState::take_changes`] runs after every event.
 const EXPIRY_INTERVAL_MS: u64 = 250;
 
-impl ProgramAdmission for Fleet {
+impl ProgramAdmission for FleetState {
     fn profile(
         &self,
         arrived: &CallArrived,
         customer: Option<&str>,
     ) -> Result<Option<String>, Refusal> {
-        match named_program(arrived) {
+        match program_token(arrived) {
             None => Ok(None),
-            Some(text) => Ok(Some(self.verify(text, customer)?.profile)),
+            Some(text) => Ok(Some(self.verify_token(text, customer)?.profile)),
         }
     }
 
     fn admit(&mut self, now_ms: u64, call: ProgramCall<'_>) -> ProgramDecision {
         self.may_need_grant = true;
-        let held = HeldCall::new(&call);
-        self.decide_call(now_ms, &held)
+        let call = OwnedProgramCall::new(&call);
+        self.admit_call(now_ms, &call)
             .unwrap_or_else(ProgramDecision::Refuse)
     }
 
@@ -49,12 +50,12 @@
                     cached_tokens: usage.cached_tokens,
                     generated_tokens: usage.generated_tokens,
                 });
-                let transition = self.programs.finish(now_ms, request_id, usage);
-                self.record(transition);
+                let effects = self.programs.finish(now_ms, request_id, usage);
+                self.apply_program_effects(effects);
             }
             (PendingCall::Program { .. }, CallOutcome::Failed { ran }) => {
-                let transition = self.programs.fail(now_ms, request_id, ran);
-                self.record(transition);
+                let effects = self.programs.fail(now_ms, request_id, ran);
+                self.apply_program_effects(effects);
             }
             (PendingCall::Keyed, CallOutcome::Finished { .. }) => {
                 self.keyed.finish(now_ms, request_id, Ran::Yes);
@@ -62,54 +63,58 @@
             (PendingCall::Keyed, CallOutcome::Failed { ran }) => {
                 self.keyed.finish(now_ms, request_id, ran);
             }
-            (PendingCall::Takeover { of }, _) => self.drop_held(&of, request_id),
+            (PendingCall::Takeover { of }, _) => {
+                self.remove_awaiting_takeover(&of, request_id)
+            }
         }
     }
 
     fn take_changes(&mut self, now_ms: u64) -> ProgramChanges {
         if now_ms >= self.next_expiry_ms {
             self.next_expiry_ms = now_ms + EXPIRY_INTERVAL_MS;
-            let transition = self.programs.expire(now_ms);
-            self.record(transition);
+            let effects = self.programs.expire(now_ms);
+            self.apply_program_effects(effects);
         }
         std::mem::take(&mut self.changes)
     }
 }
 
-impl Fleet {
-    /// Decides about a call that arrived, or that waited for a takeover.
-    pub(crate) fn decide_call(
+impl FleetState {
+    /// Decides the admission of a call that has just arrived or has waited for a takeover.
+    pub(crate) fn admit_call(
         &mut self,
         now_ms: u64,
-        held: &HeldCall,
+        call: &OwnedProgramCall,
     ) -> Result<ProgramDecision, Refusal> {
-        match (&held.arrived.operation, named_program(&held.arrived)) {
+        match (&call.arrived.operation, program_token(&call.arrived)) {
             (CallOperation::OpenProgram { budget_tokens }, _) => {
-                self.open(now_ms, held, *budget_tokens)
+                self.open_program(now_ms, call, *budget_tokens)
             }
             (_, Some(text)) => {
-                let token = self.verify(text, held.customer.as_deref())?;
-                self.join(now_ms, held, &token)
+                let token = self.verify_token(text, call.customer.as_deref())?;
+                self.admit_to_program(now_ms, call, &token)
             }
-            (_, None) => Ok(self.admit_single(now_ms, held)),
+            (_, None) => Ok(self.admit_without_program(now_ms, call)),
         }
     }
 
-    fn open(
+    /// Opens a program for the caller, below its parent program if the call names one. The
+    /// parent's owner opens it, so the call may be forwarded there.
+    fn open_program(
         &mut self,
         now_ms: u64,
-        held: &HeldCall,
+        call: &OwnedProgramCall,
         budget_tokens: Option<u64>,
     ) -> Result<ProgramDecision, Refusal> {
-        let customer = held.customer.clone().ok_or_else(needs_customer)?;
-        let parent = match &held.arrived.parent {
+        let customer = call.customer.clone().ok_or_else(customer_required)?;
+        let parent = match &call.arrived.parent {
             None => None,
             Some(text) => {
-                let token = self.verify(text, Some(&customer))?;
-                match self.place(now_ms, held, &token)? {
-                    Place::Elsewhere(decision) => return Ok(decision),
-                    Place::Here => {
-                        let profile = self.profile_of(&token.profile, &held.profile);
+                let token = self.verify_token(text, Some(&customer))?;
+                match self.check_owner(now_ms, call, &token)? {
+                    OwnerCheck::NotLocal(decision) => return Ok(decision),
+                    OwnerCheck::Local => {
+                        let profile = self.profile_or(&token.profile, &call.profile);
                         Some(self.programs.resolve(now_ms, &token, &profile)?)
                     }
                 }
@@ -119,8 +124,8 @@
             now_ms,
             OpenRequest {
                 customer: &customer,
-                profile_name: &held.profile_name,
-                profile: &held.profile,
+                profile_name: &call.profile_name,
+                profile: &call.profile,
                 budget_tokens,
                 parent,
                 now_unix_s: self.now_unix_s(now_ms),
@@ -133,27 +138,28 @@
         }))
     }
 
-    fn join(
+    /// Admits a call to its program, or closes the program, if this instance serves it.
+    fn admit_to_program(
         &mut self,
         now_ms: u64,
-        held: &HeldCall,
+        call: &OwnedProgramCall,
         token: &ProgramToken,
     ) -> Result<ProgramDecision, Refusal> {
-        if let Place::Elsewhere(decision) = self.place(now_ms, held, token)? {
+        if let OwnerCheck::NotLocal(decision) = self.check_owner(now_ms, call, token)? {
             return Ok(decision);
         }
-        let program = self.programs.resolve(now_ms, token, &held.profile)?;
-        match &held.arrived.operation {
+        let program = self.programs.resolve(now_ms, token, &call.profile)?;
+        match &call.arrived.operation {
             CallOperation::CloseProgram { .. } => {
-                let transition = self.programs.close(now_ms, program);
-                self.record(transition);
+                let effects = self.programs.close(now_ms, program);
+                self.apply_program_effects(effects);
                 Ok(ProgramDecision::Reply(Reply::ProgramClosed))
             }
             _ => {
-                let facts = call_facts(held)?;
-                let request_id = held.arrived.request_id;
-                let admission = self.programs.admit(now_ms, program, facts);
-                let max_tokens = held.max_tokens;
+                let params = call_params(call)?;
+                let request_id = call.arrived.request_id;
+                let admission = self.programs.admit(now_ms, program, params);
+                let max_tokens = call.max_tokens;
                 let pending = PendingCall::Program {
                     program,
                     max_tokens,
@@ -164,13 +170,19 @@
         }
     }
 
-    /// A call without a program.
-    fn admit_single(&mut self, now_ms: u64, held: &HeldCall) -> ProgramDecision {
-        let arrived = &held.arrived;
-        let key = (&arrived.idempotency_key, held.customer.as_deref());
-        let (Some(key), Some(customer), false) = (key.0, key.1, held.repeatable) else {
+    /// Admits a call without a program. The idempotency key of a repeatable call, or of one
+    /// without a customer, is ignored.
+    fn admit_without_program(
+        &mut self,
+        now_ms: u64,
+        call: &OwnedProgramCall,
+    ) -> ProgramDecision {
+        let arrived = &call.arrived;
+        let key = arrived.idempotency_key.as_ref();
+        let customer = call.customer.as_deref();
+        let (Some(key), Some(customer), false) = (key, customer, call.repeatable) else {
             return ProgramDecision::Proceed(ProgramGrant {
-                max_tokens: held.max_tokens,
+                max_tokens: call.max_tokens,
                 response_headers: vec![self.epoch_header()],
                 ..ProgramGrant::default()
             });
@@ -184,7 +196,7 @@
             KeyedAdmission::Run => {
                 self.calls.insert(request_id, PendingCall::Keyed);
                 ProgramDecision::Proceed(ProgramGrant {
-                    max_tokens: held.max_tokens,
+                    max_tokens: call.max_tokens,
                     response_headers: vec![self.epoch_header()],
                     ..ProgramGrant::default()
                 })
@@ -201,48 +213,52 @@
         }
     }
 
-    /// Where a call of the program is served.
-    fn place(
+    /// Whether this instance serves the program of the token. A call whose program must be
+    /// taken over first is kept until that is done.
+    fn check_owner(
         &mut self,
         now_ms: u64,
-        held: &HeldCall,
+        call: &OwnedProgramCall,
         token: &ProgramToken,
-    ) -> Result<Place, Refusal> {
-        match self.owner_of(now_ms, &token.owner, held.arrived.was_forwarded) {
-            Decision::Serve => Ok(Place::Here),
+    ) -> Result<OwnerCheck, Refusal> {
+        match self.ownership_decision(now_ms, &token.owner, call.arrived.was_forwarded) {
+            Decision::Serve => Ok(OwnerCheck::Local),
             Decision::Forward { to } => {
-                Ok(Place::Elsewhere(ProgramDecision::Forward { to }))
+                Ok(OwnerCheck::NotLocal(ProgramDecision::Forward { to }))
             }
             Decision::ClaimTakeover { of } => {
-                self.hold_for_takeover(of, held.clone());
-                Ok(Place::Elsewhere(ProgramDecision::Wait))
+                self.hold_for_takeover(of, call.clone());
+                Ok(OwnerCheck::NotLocal(ProgramDecision::Wait))
             }
             Decision::Refuse(refusal) => Err(refusal),
         }
     }
 
-    fn verify(
+    /// Checks signature, customer and validity of a program token.
+    fn verify_token(
         &self,
         text: &str,
         customer: Option<&str>,
     ) -> Result<ProgramToken, Refusal> {
-        let customer = customer.ok_or_else(needs_customer)?;
+        let customer = customer.ok_or_else(customer_required)?;
         let now_unix_s = self.now_unix_s(self.last_now_ms);
         ProgramToken::verify(text, &self.settings.token_key, customer, now_unix_s)
     }
 
-    /// Turns later answers of the programs into decisions.
-    pub(crate) fn record(&mut self, transition: ProgramEffects) {
+    /// Records the decisions about waiting calls and the ended programs that a change of the
+    /// programs caused, for the next [`FleetState::take_changes`].
+    pub(crate) fn apply_program_effects(&mut self, effects: ProgramEffects) {
         self.may_need_grant = true;
-        for resolved in transition.resolved {
+        for resolved in effects.resolved {
             let decision = self.decision(resolved.request_id, resolved.admission);
             self.changes.decided.push((resolved.request_id, decision));
         }
-        for ended in transition.ended {
+        for ended in effects.ended {
             self.changes.ended.push(ended.cache_tag.to_string());
         }
     }
 
+    /// The scheduler's form of an admission by a program. Forgets the call if it is refused.
     fn decision(
         &mut self,
         request_id: RequestId,
@@ -250,7 +266,7 @@
     ) -> ProgramDecision {
         match admission {
             Admission::Run { max_tokens, turn } => {
-                self.grant(request_id, max_tokens, turn)
+                self.proceed(request_id, max_tokens, turn)
             }
             Admission::Wait | Admission::NeedsGrant => ProgramDecision::Wait,
             Admission::Refuse(refusal) => {
@@ -260,7 +276,8 @@
         }
     }
 
-    fn grant(
+    /// The permission for a call of a program, with the headers of its response.
+    fn proceed(
         &mut self,
         request_id: RequestId,
         max_tokens: u64,
@@ -268,7 +285,7 @@
     ) -> ProgramDecision {
         let Some(PendingCall::Program {
             program,
-            max_tokens: asked,
+            max_tokens: requested,
         }) = self.calls.get(&request_id)
         else {
             return ProgramDecision::Wait;
@@ -280,7 +297,7 @@
         let next_turn = turn + 1;
         ProgramDecision::Proceed(ProgramGrant {
             program: identity,
-            max_tokens: asked.map(|_| max_tokens),
+            max_tokens: requested.map(|_| max_tokens),
             response_headers: vec![
                 self.epoch_header(),
                 ("jayreel-turn".to_string(), next_turn.to_string()),
@@ -292,20 +309,25 @@
         ("jayreel-epoch".to_string(), self.settings.own.to_string())
     }
 
-    fn profile_of(&self, name: &str, otherwise: &Profile) -> Profile {
+    /// The named profile, or `fallback` if the configuration has none of that name.
+    fn profile_or(&self, name: &str, fallback: &Profile) -> Profile {
         let configuration = self.configuration.as_ref();
         let profile = configuration.and_then(|c| c.profiles.get(name));
-        profile.unwrap_or(otherwise).clone()
+        profile.unwrap_or(fallback).clone()
     }
 }
 
-/// Where a call is served.
-enum Place {
-    Here,
-    Elsewhere(ProgramDecision),
+/// Whether this instance serves the program of a call.
+enum OwnerCheck {
+    /// It does.
+    Local,
+    /// It does not. The decision is to forward the call or to wait for a takeover.
+    NotLocal(ProgramDecision),
 }
 
-fn named_program(arrived: &CallArrived) -> Option<&str> {
+/// The program token that a call names. A call that opens a program has none; the token of the
+/// parent is not meant here.
+fn program_token(arrived: &CallArrived) -> Option<&str> {
     match &arrived.operation {
         CallOperation::CloseProgram { token } => Some(token),
         CallOperation::OpenProgram { .. } => None,
@@ -313,8 +335,9 @@
     }
 }
 
-fn call_facts(held: &HeldCall) -> Result<CallParams, Refusal> {
-    let arrived = &held.arrived;
+/// What the programs need to know of a call. Only chat calls have a bound on prompt tokens.
+fn call_params(call: &OwnedProgramCall) -> Result<CallParams, Refusal> {
+    let arrived = &call.arrived;
     let prompt_bound_tokens = match &arrived.operation {
         CallOperation::Chat {
             prompt_bound_tokens,
@@ -324,16 +347,17 @@
     };
     Ok(CallParams {
         request_id: arrived.request_id,
-        repeatable: held.repeatable,
+        repeatable: call.repeatable,
         turn: arrived.turn,
-        epoch: epoch(arrived)?,
+        epoch: parse_epoch(arrived)?,
         idempotency_key: arrived.idempotency_key.clone(),
         prompt_bound_tokens,
-        max_tokens: held.max_tokens.unwrap_or(0),
+        max_tokens: call.max_tokens.unwrap_or(0),
     })
 }
 
-fn epoch(arrived: &CallArrived) -> Result<Option<Incarnation>, Refusal> {
+/// The incarnation that the caller's `Jayreel-Epoch` header names, if there is one.
+fn parse_epoch(arrived: &CallArrived) -> Result<Option<Incarnation>, Refusal> {
     match &arrived.epoch {
         None => Ok(None),
         Some(text) => text.parse().map(Some).map_err(|_| {
@@ -345,6 +369,6 @@
     }
 }
 
-fn needs_customer() -> Refusal {
+fn customer_required() -> Refusal {
     Refusal::not_run(RefusalReason::NotAllowed, "a program needs a customer key")
 }
--- a/crates/fleet/src/quota_step.rs
+++ b/crates/fleet/src/quota_admission.rs
@@ -1,16 +1,17 @@
-//! The quota step: buckets, and loans from peers when they are short.
+//! Quota admission: takes tokens from the customers' buckets and borrows rate from peers when
+//! a bucket is empty.
 
 use jayreel_model::{Configuration, Incarnation};
 use jayreel_quota::{LoanReturn, Take};
 use jayreel_scheduler::quota_admission::{QuotaAdmission, QuotaDecision};
 
 use crate::event::{FleetEffect, PeerMessage};
-use crate::fleet::Fleet;
+use crate::fleet::FleetState;
 
-/// Time after which a caller may ask again if the bucket cannot tell.
+/// Time after which a caller may retry if the bucket cannot tell when it has a token again.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-impl QuotaAdmission for Fleet {
+impl QuotaAdmission for FleetState {
     fn configure(&mut self, now_ms: u64, configuration: &Configuration) {
         self.quota.set_customers(now_ms, &configuration.customers);
     }
@@ -24,7 +25,7 @@
         match self.quota.take(now_ms, key) {
             Take::Taken => QuotaDecision::Taken,
             Take::Short { wait_ms } => {
-                self.ask_for_loan(now_ms, customer);
+                self.request_loan(now_ms, customer);
                 let retry_after_ms = wait_ms.unwrap_or(RETRY_AFTER_MS).max(1);
                 QuotaDecision::Exhausted { retry_after_ms }
             }
@@ -44,8 +45,8 @@
     }
 }
 
-impl Fleet {
-    /// Gives loans back to their lenders.
+impl FleetState {
+    /// Returns loans to their lenders.
     pub(crate) fn send_returns(&mut self, returns: Vec<LoanReturn>) {
         for returned in returns {
             if let Ok(lender) = returned.lender.parse::<Incarnation>() {
@@ -54,18 +55,19 @@
         }
     }
 
-    /// Asks the next peer in turn for a part of its share.
-    fn ask_for_loan(&mut self, now_ms: u64, customer: &str) {
+    /// Asks a live peer for a loan of the customer's rate. The peers are asked in round-robin
+    /// order.
+    fn request_loan(&mut self, now_ms: u64, customer: &str) {
         let Some(key) = self.quota.quota_key(customer) else {
             return;
         };
-        let peers = self.lenders();
+        let peers = self.live_peers();
         if peers.is_empty() {
             return;
         }
         if let Some(request) = self.quota.loan_request(now_ms, key) {
-            self.next_lender = (self.next_lender + 1) % peers.len();
-            let to = peers[self.next_lender].clone();
+            self.last_lender = (self.last_lender + 1) % peers.len();
+            let to = peers[self.last_lender].clone();
             self.effects.push(FleetEffect::Send {
                 to,
                 message: PeerMessage::LoanRequest(request),
--- a/crates/fleet/src/reducer.rs
+++ b/crates/fleet/src/reducer.rs
@@ -1,4 +1,5 @@
-//! The one reducer of an instance: the scheduler with the fleet step.
+//! [`Reducer`]: the state machine of one instance. It combines the scheduler with
+//! [`FleetState`].
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,46 +13,48 @@
 use jayreel_scheduler::{Effect, Event, Scheduler, SchedulerBuilder, SchedulerSettings};
 
 use crate::event::{FleetEffect, FleetEvent};
-use crate::fleet::Fleet;
-use crate::model_care::NeededUnload;
+use crate::fleet::FleetState;
+use crate::model_reconciler::NeededUnload;
 use crate::settings::FleetSettings;
 use crate::status::FleetStatus;
 
 /// One input of the reducer.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// From peers and the store.
+    /// An event from peers, the store or the reports of engines.
     Fleet(FleetEvent),
-    /// From callers and endpoints.
+    /// An event from callers or endpoints, a new configuration, or the timer.
     Schedule(Event),
 }
 
 /// One output of the reducer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// To peers and the store.
+    /// An action towards peers or the store, or an order to an engine.
     Fleet(FleetEffect),
-    /// To callers and endpoints.
+    /// An action towards callers or endpoints.
     Schedule(Effect),
 }
 
-/// The one reducer of an instance.
+/// The state machine of one instance. It runs on a single thread.
 #[derive(Debug)]
 pub struct Reducer {
     scheduler: Scheduler,
     fleet: SharedFleet,
-    /// Live instances and own position, as last told to the scheduler.
+    /// Number of live instances and the index of this one among them, as the scheduler last
+    /// received them.
     position: (u32, u32),
 }
 
 impl Reducer {
-    /// A reducer of a process that has just started.
+    /// The reducer of a process that has just started. `unix_ms_at_zero` is the Unix time in
+    /// milliseconds at which the monotonic clock was 0.
     pub fn new(
         scheduler: SchedulerSettings,
         fleet: FleetSettings,
         unix_ms_at_zero: u64,
     ) -> Reducer {
-        let fleet = SharedFleet::new(Fleet::new(fleet, unix_ms_at_zero));
+        let fleet = SharedFleet::new(FleetState::new(fleet, unix_ms_at_zero));
         let scheduler = SchedulerBuilder::new(scheduler)
             .programs(Box::new(fleet.clone()))
             .quota(Box::new(fleet.clone()))
@@ -63,26 +66,27 @@
         }
     }
 
-    /// Applies one input at `now_ms`, in milliseconds of the monotonic clock, and returns
-    /// what to carry out, in order.
+    /// Applies one input at `now_ms`, in milliseconds of the monotonic clock, and returns the
+    /// actions to carry out, in order.
     pub fn apply(&mut self, now_ms: u64, input: Input) -> Vec<Output> {
         let mut effects = Vec::new();
-        // Counting the live peers visits all of them, and ticks come every 50 ms.
-        let counts_peers = matches!(input, Input::Schedule(Event::Tick));
+        // The count of live peers visits all peers, so it is updated only at ticks, which come
+        // every 50 ms.
+        let updates_position = matches!(input, Input::Schedule(Event::Tick));
         match input {
             Input::Schedule(event) => {
-                self.tell_fleet(now_ms, &event);
+                self.apply_to_fleet(now_ms, &event);
                 effects.extend(self.scheduler.apply(now_ms, event));
             }
             Input::Fleet(event) => {
-                let brings_decisions = event.brings_decisions();
+                let affects_calls = event.affects_calls();
                 self.fleet.lock().apply(now_ms, event);
-                if brings_decisions {
+                if affects_calls {
                     effects.extend(self.scheduler.apply(now_ms, Event::AdmissionChanged));
                 }
             }
         }
-        if counts_peers {
+        if updates_position {
             effects.extend(self.update_position(now_ms));
         }
         let fleet_effects = self.fleet.lock().take_effects();
@@ -92,28 +96,29 @@
             .collect()
     }
 
-    /// The state for operators.
+    /// The status that operators can query.
     pub fn status(&self, now_ms: u64) -> FleetStatus {
         self.fleet.lock().status(now_ms)
     }
 
-    /// Whether the instance can serve its customers: it has a configuration and a share of
-    /// their rates.
+    /// Whether the instance can serve calls: it has a configuration, and its own or a borrowed
+    /// share of the customers' rates.
     pub fn is_ready(&self, now_ms: u64) -> bool {
-        self.fleet.lock().has_share(now_ms)
+        self.fleet.lock().is_ready(now_ms)
     }
 
-    /// Number of calls that have not ended.
+    /// Number of calls in the scheduler that have not ended.
     pub fn call_count(&self) -> usize {
         self.scheduler.call_count()
     }
 
-    /// Whether a planned stop has given back and handed over everything.
+    /// Whether a planned stop has handed over all programs and keys and returned all loans and
+    /// the home share.
     pub fn is_stopped(&self, now_ms: u64) -> bool {
         self.fleet.lock().is_stopped(now_ms)
     }
 
-    fn tell_fleet(&self, now_ms: u64, event: &Event) {
+    fn apply_to_fleet(&self, now_ms: u64, event: &Event) {
         let mut fleet = self.fleet.lock();
         match event {
             Event::ConfigurationChanged(configuration) => {
@@ -123,16 +128,19 @@
             Event::DrainStarted => fleet.apply(now_ms, FleetEvent::StopStarted),
             Event::Tick => {
                 fleet.set_waiting_calls(self.scheduler.waiting_count());
-                let unused = self.unused(fleet.needed_unloads());
-                fleet.set_unused(unused);
+                let permitted = self.permitted_unloads(fleet.needed_unloads());
+                fleet.set_permitted_unloads(permitted);
                 fleet.apply(now_ms, FleetEvent::Tick);
             }
             _ => fleet.set_now(now_ms),
         }
     }
 
-    /// The unloads that no call of this instance prevents.
-    fn unused(&self, needed: Vec<NeededUnload>) -> BTreeSet<(String, EngineOrder)> {
+    /// Those of the needed unloads whose model or adapter no call of this instance uses.
+    fn permitted_unloads(
+        &self,
+        needed: Vec<NeededUnload>,
+    ) -> BTreeSet<(String, EngineOrder)> {
         let is_used = |unload: &NeededUnload| {
             let mut names = unload.names.iter();
             names.any(|name| {
@@ -165,17 +173,17 @@
     }
 }
 
-/// The fleet step as the scheduler's program and quota steps. The reducer runs on one
-/// thread, so the lock is never contended.
+/// Shares [`FleetState`] between the reducer and the scheduler, which calls it for program and
+/// quota admission. The reducer runs on one thread, so the lock is never contended.
 #[derive(Clone, Debug)]
-struct SharedFleet(Arc<Mutex<Fleet>>);
+struct SharedFleet(Arc<Mutex<FleetState>>);
 
 impl SharedFleet {
-    fn new(fleet: Fleet) -> SharedFleet {
+    fn new(fleet: FleetState) -> SharedFleet {
         SharedFleet(Arc::new(Mutex::new(fleet)))
     }
 
-    fn lock(&self) -> MutexGuard<'_, Fleet> {
+    fn lock(&self) -> MutexGuard<'_, FleetState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -1,49 +1,55 @@
-//! Settings of the fleet step.
+//! Settings of [`FleetState`](crate::FleetState).
 
 use jayreel_model::Incarnation;
 use jayreel_programs::TokenKey;
 
-/// Settings that do not change while the instance runs.
+/// Settings of one process. They do not change while it runs.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// This process.
+    /// Incarnation of this process.
     pub own: Incarnation,
     /// Availability zone of this instance.
     pub availability_zone: String,
-    /// Where this process accepts peers until it exits.
+    /// Address at which this process accepts connections of peers. The listener stays open
+    /// until the process exits.
     pub peer_address: String,
-    /// Key that signs program tokens.
+    /// Key that signs and verifies program tokens. The same in the whole fleet.
     pub token_key: TokenKey,
-    /// Part of a program's budget that needs no record in the store.
+    /// Percentage of a program's budget that may be spent before a grant is written to the
+    /// store.
     pub first_tranche_percent: u8,
-    /// Validity of a program token.
+    /// Validity of a program token, in seconds from its creation.
     pub token_lifetime_s: u64,
-    /// How long a loan lasts.
+    /// Time after which a loan of a customer's rate expires.
     pub loan_term_ms: u64,
-    /// How long a home share may be used without contact to the store.
+    /// How long the home share may be used after the last renewal of the registration.
     pub home_term_ms: u64,
-    /// Longest time between a decision to send a call and its first byte.
+    /// Longest time between the decision to send a call and its first byte on the connection.
     pub dispatch_deadline_ms: u64,
-    /// Time for which a registration must be absent before a takeover.
+    /// Time for which the registration of a program's owner must be absent before another
+    /// instance takes its programs over.
     pub takeover_delay_ms: u64,
-    /// For how long a repeat of an idempotency key may arrive.
+    /// How long an idempotency key is remembered after its call ended.
     pub late_repeat_window_ms: u64,
-    /// Time between two listings of an engine's cache tags.
+    /// Time between two sweeps, each of which lists the cache tags of the engines that this
+    /// instance is responsible for.
     pub cache_sweep_interval_ms: u64,
-    /// How long a process must be gone before its cache is released, if it has no
-    /// successor.
+    /// How long the registration of a process without a successor must be absent before the
+    /// cache of its programs is released.
     pub cache_orphan_ms: u64,
-    /// Loads at once at the engines of an availability zone. Divided among their
-    /// caretakers. At least 1.
+    /// Limit on concurrent model loads at all engines of an availability zone. It is divided
+    /// among the instances that are responsible for these engines. 0 counts as 1.
     pub zone_loads: usize,
-    /// Age at which a report of an engine no longer shows a load that goes on.
+    /// Age from which an engine's report of a load in progress is ignored for
+    /// [`FleetSettings::zone_loads`].
     pub model_report_valid_ms: u64,
-    /// Largest age of the view of the registrations for calls with an idempotency key.
+    /// Largest age of the last read of the registrations with which a call that has an
+    /// idempotency key is admitted.
     pub registration_freshness_ms: u64,
 }
 
 impl FleetSettings {
-    /// Default settings for a process.
+    /// Default settings for the process `own`.
     pub fn new(
         own: Incarnation,
         availability_zone: impl Into<String>,
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -1,48 +1,50 @@
-//! What an operator can see of the fleet step.
+//! The status of [`FleetState`] that operators can query.
 
 use serde::Serialize;
 
 use jayreel_membership::Liveness;
 
-use crate::fleet::Fleet;
+use crate::fleet::FleetState;
 
-/// The state of one instance's fleet step.
+/// How one instance sees the fleet. Its fields are written out as JSON for operators.
 #[derive(Clone, Debug, Serialize)]
 pub struct FleetStatus {
-    /// This process.
+    /// Incarnation of the process that reports.
     pub incarnation: String,
-    /// Its availability zone.
+    /// Availability zone that the instance runs in.
     pub availability_zone: String,
-    /// Revision of the configuration in force.
+    /// Revision of the configuration in force, 0 if there is none yet.
     pub config_revision: u64,
-    /// Age of the store contact behind it.
+    /// Time since the store last confirmed the configuration in force, directly or through a
+    /// peer. `None` if it never did.
     pub store_contact_age_ms: Option<u64>,
-    /// Home weight by the store's record, in parts per million.
+    /// Home weight of this instance by the store's record, in parts per million.
     pub home_weight_ppm: u32,
-    /// The part of it that is in force: weight of a holder that is gone counts one loan term
-    /// later.
+    /// The part of the home weight that is in force. Weight that came from a holder that is
+    /// gone is in force one loan term later than it is in the record.
     pub home_in_force_ppm: u32,
-    /// Whether another process has taken over all programs of this one. It then stops.
+    /// Whether another process has taken over all programs of this one. This process then
+    /// stops.
     pub superseded: bool,
-    /// Live programs, sub-agents included.
+    /// Number of live programs, sub-agents included.
     pub programs: usize,
-    /// Peers by name.
+    /// All known peers, sorted by name.
     pub peers: Vec<PeerStatus>,
 }
 
-/// One peer.
+/// How this instance sees one peer.
 #[derive(Clone, Debug, Serialize)]
 pub struct PeerStatus {
-    /// The process.
+    /// The newest known process of the peer.
     pub incarnation: String,
     /// `alive`, `dead`, `leaving` or `suspect`.
     pub liveness: &'static str,
-    /// The revision of its configuration, as last told.
+    /// Revision of the peer's configuration, as it last reported.
     pub config_revision: u64,
 }
 
-impl Fleet {
-    /// The state for operators.
+impl FleetState {
+    /// The status that operators can query.
     pub fn status(&mut self, now_ms: u64) -> FleetStatus {
         let peers = self.membership.peers(now_ms);
         FleetStatus {
@@ -58,7 +60,7 @@
                 .into_iter()
                 .map(|(incarnation, liveness, config_revision)| PeerStatus {
                     incarnation: incarnation.to_string(),
-                    liveness: name(liveness),
+                    liveness: liveness_name(liveness),
                     config_revision,
                 })
                 .collect(),
@@ -66,7 +68,7 @@
     }
 }
 
-fn name(liveness: Liveness) -> &'static str {
+fn liveness_name(liveness: Liveness) -> &'static str {
     match liveness {
         Liveness::Alive => "alive",
         Liveness::Dead => "dead",
--- a/crates/fleet/src/takeover.rs
+++ b/crates/fleet/src/takeover.rs
@@ -1,21 +1,23 @@
-//! Takeovers of programs whose owner is gone.
+//! Takeovers: how this instance becomes the owner of programs whose owner is gone, and what it
+//! does when another one takes over its own.
 
 use jayreel_model::{Incarnation, RequestId};
 use jayreel_programs::{BudgetRecord, Handover, TakeoverRecord, ownership};
 use jayreel_scheduler::program_admission::ProgramDecision;
 
 use crate::event::{FleetEffect, PeerMessage};
-use crate::fleet::{Fleet, HeldCall, PendingCall};
+use crate::fleet::{FleetState, OwnedProgramCall, PendingCall};
 
-impl Fleet {
-    /// Keeps a call until the successor of `of` is known, and tries to become it.
-    pub(crate) fn hold_for_takeover(&mut self, of: Incarnation, call: HeldCall) {
+impl FleetState {
+    /// Keeps a call until the successor of `of` is known. The first such call makes this
+    /// process try to become the successor.
+    pub(crate) fn hold_for_takeover(&mut self, of: Incarnation, call: OwnedProgramCall) {
         let request_id = call.arrived.request_id;
         let pending = PendingCall::Takeover { of: of.clone() };
         self.calls.insert(request_id, pending);
-        let held = self.held.entry(of.clone()).or_default();
-        held.push(call);
-        if held.len() == 1 {
+        let waiting = self.awaiting_takeover.entry(of.clone()).or_default();
+        waiting.push(call);
+        if waiting.len() == 1 {
             let record = TakeoverRecord {
                 successor: self.settings.own.clone(),
                 is_planned: false,
@@ -24,8 +26,9 @@
         }
     }
 
-    /// Takes note of a takeover record. If it names this process, the budget record is
-    /// read before any call of those programs is decided.
+    /// Handles a takeover record from the store. If it makes this process responsible for the
+    /// programs of `of`, the budget record of `of` is read before any call of these programs is
+    /// decided.
     pub(crate) fn takeover_read(
         &mut self,
         now_ms: u64,
@@ -34,7 +37,7 @@
     ) {
         self.takeovers.learn(of.clone(), record);
         if of == self.settings.own {
-            self.superseded(record);
+            self.own_takeover_read(record);
             return;
         }
         match self.takeovers.responsible(&of) == &self.settings.own {
@@ -42,12 +45,16 @@
                 self.announce_takeover(&of, record);
                 self.effects.push(FleetEffect::ReadBudget { of });
             }
-            false => self.decide_held(now_ms, &of),
+            false => self.decide_awaiting_takeover(now_ms, &of),
         }
     }
 
-    /// A peer tells of a takeover record.
-    pub(crate) fn takeover_told(&mut self, of: Incarnation, record: &TakeoverRecord) {
+    /// Handles a takeover record that a peer has announced.
+    pub(crate) fn takeover_announced(
+        &mut self,
+        of: Incarnation,
+        record: &TakeoverRecord,
+    ) {
         if of == self.settings.own {
             self.supersede();
         } else {
@@ -55,9 +62,9 @@
         }
     }
 
-    /// Tells all peers who serves the programs from now on. A peer that misses it reads
-    /// the record when a call finds the process gone; a process that is still alive learns
-    /// that it has been replaced.
+    /// Announces to all peers who serves the programs of `of` from now on. A process `of` that
+    /// is still alive learns from it that it was replaced. A peer that misses the message reads
+    /// the record when it gets a call for a program of `of`.
     pub(crate) fn announce_takeover(
         &mut self,
         of: &Incarnation,
@@ -69,21 +76,25 @@
         }
     }
 
+    /// Gives up all programs of this process, which another one has taken over.
     fn supersede(&mut self) {
         self.superseded = true;
-        let transition = self.programs.supersede();
-        self.record(transition);
+        let effects = self.programs.supersede();
+        self.apply_program_effects(effects);
     }
 
-    /// Another process is responsible for all programs of this one.
-    fn superseded(&mut self, record: &TakeoverRecord) {
+    /// Handles the takeover record of this process: a planned one continues the handover, any
+    /// other one supersedes this process.
+    fn own_takeover_read(&mut self, record: &TakeoverRecord) {
         match record.is_planned {
-            true => self.hand_over(record),
+            true => self.start_sending_handover(record),
             false => self.supersede(),
         }
     }
 
-    /// The budget record was read after the takeover record had been created.
+    /// Adopts the programs of `of` with their charges from its budget record, and decides the
+    /// calls that waited for it. The record was read after the takeover record had been
+    /// created, so `of` cannot write it any more.
     pub(crate) fn budget_read(
         &mut self,
         now_ms: u64,
@@ -91,10 +102,11 @@
         record: Option<BudgetRecord>,
     ) {
         self.programs.adopt(of.clone(), record);
-        self.decide_held(now_ms, &of);
+        self.decide_awaiting_takeover(now_ms, &of);
     }
 
-    /// A stopping process names this one as the successor of its programs.
+    /// Imports one part of the programs of a stopping process that has named this one as its
+    /// successor.
     pub(crate) fn take_handover(&mut self, now_ms: u64, handover: Handover) {
         let record = TakeoverRecord {
             successor: self.settings.own.clone(),
@@ -105,9 +117,9 @@
         self.programs.import(now_ms, handover);
     }
 
-    /// The store gave no answer, so the calls that wait for it cannot be placed.
+    /// Refuses the calls that wait for the successor of `of`, because the store gave no answer.
     pub(crate) fn takeover_unconfirmed(&mut self, of: &Incarnation) {
-        for call in self.held.remove(of).unwrap_or_default() {
+        for call in self.awaiting_takeover.remove(of).unwrap_or_default() {
             let request_id = call.arrived.request_id;
             self.calls.remove(&request_id);
             let refusal = ProgramDecision::Refuse(ownership::unreachable());
@@ -115,19 +127,24 @@
         }
     }
 
-    /// Forgets a waiting call.
-    pub(crate) fn drop_held(&mut self, of: &Incarnation, request_id: RequestId) {
-        if let Some(calls) = self.held.get_mut(of) {
+    /// Removes a call that has ended while it waited for a successor of `of`.
+    pub(crate) fn remove_awaiting_takeover(
+        &mut self,
+        of: &Incarnation,
+        request_id: RequestId,
+    ) {
+        if let Some(calls) = self.awaiting_takeover.get_mut(of) {
             calls.retain(|call| call.arrived.request_id != request_id);
         }
     }
 
-    fn decide_held(&mut self, now_ms: u64, of: &Incarnation) {
-        for call in self.held.remove(of).unwrap_or_default() {
+    /// Decides the calls that waited for a successor of `of`.
+    fn decide_awaiting_takeover(&mut self, now_ms: u64, of: &Incarnation) {
+        for call in self.awaiting_takeover.remove(of).unwrap_or_default() {
             let request_id = call.arrived.request_id;
             self.calls.remove(&request_id);
             let decision = self
-                .decide_call(now_ms, &call)
+                .admit_call(now_ms, &call)
                 .unwrap_or_else(ProgramDecision::Refuse);
             if decision != ProgramDecision::Wait {
                 self.changes.decided.push((request_id, decision));
--- a/crates/fleet/tests/home.rs
+++ b/crates/fleet/tests/home.rs
@@ -1,6 +1,8 @@
 //! When a home weight that was read counts.
 
-use jayreel_fleet::{Fleet, FleetEffect, FleetEvent, FleetSettings, RegisteredInstance};
+use jayreel_fleet::{
+    FleetEffect, FleetEvent, FleetSettings, FleetState, RegisteredInstance,
+};
 use jayreel_model::{Configuration, Customer, Incarnation};
 use jayreel_programs::TokenKey;
 use jayreel_quota::home_weights::HomeRecord;
@@ -17,11 +19,11 @@
 }
 
 /// An instance that is registered, as are all of `registered`.
-fn fleet(index: u64, registered: &[u64]) -> Fleet {
+fn fleet(index: u64, registered: &[u64]) -> FleetState {
     let own = incarnation(index);
     let address = own.to_string();
     let settings = FleetSettings::new(own, "zone-0", address, TokenKey::derive("t"));
-    let mut fleet = Fleet::new(settings, 0);
+    let mut fleet = FleetState::new(settings, 0);
     let mut configuration = Configuration::default();
     let customer = Customer {
         rate_mreq_per_s: 1_000,
@@ -37,7 +39,7 @@
     fleet
 }
 
-fn read_registrations(fleet: &mut Fleet, now_ms: u64, registered: &[u64]) {
+fn read_registrations(fleet: &mut FleetState, now_ms: u64, registered: &[u64]) {
     let entry = |index: &u64| RegisteredInstance {
         incarnation: incarnation(*index),
         availability_zone: "zone-0".to_string(),
@@ -54,7 +56,7 @@
 
 /// Reads the record and returns the one that the instance writes then.
 fn read(
-    fleet: &mut Fleet,
+    fleet: &mut FleetState,
     now_ms: u64,
     record: &HomeRecord,
     version: u64,
@@ -72,7 +74,7 @@
     })
 }
 
-fn in_force_ppm(fleet: &mut Fleet, now_ms: u64) -> u32 {
+fn in_force_ppm(fleet: &mut FleetState, now_ms: u64) -> u32 {
     fleet.status(now_ms).home_in_force_ppm
 }
 
--- a/crates/fleet/tests/pair/node.rs
+++ b/crates/fleet/tests/pair/node.rs
@@ -3,7 +3,9 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use jayreel_fleet::{Fleet, FleetEffect, FleetEvent, FleetSettings, RegisteredInstance};
+use jayreel_fleet::{
+    FleetEffect, FleetEvent, FleetSettings, FleetState, RegisteredInstance,
+};
 use jayreel_model::{Configuration, Customer, Incarnation};
 use jayreel_programs::TokenKey;
 use jayreel_scheduler::quota_admission::{QuotaAdmission, QuotaDecision};
@@ -21,7 +23,7 @@
     own: Incarnation,
     starts_ms: u64,
     plan: Plan,
-    fleet: Fleet,
+    fleet: FleetState,
     /// What it will learn, with the time of delivery.
     inbox: VecDeque<(u64, FleetEvent)>,
     /// Messages to peers that are not under way yet.
@@ -42,7 +44,7 @@
         let token_key = TokenKey::derive("t");
         let settings =
             FleetSettings::new(own.clone(), "zone-0", own.to_string(), token_key);
-        let mut fleet = Fleet::new(settings, 0);
+        let mut fleet = FleetState::new(settings, 0);
         let configuration = Arc::new(configuration(plan.rate_per_s));
         fleet.configure(0, &configuration);
         fleet.apply(0, FleetEvent::ConfigurationChanged(configuration));
@@ -84,7 +86,7 @@
 
     pub fn is_ready(&mut self, now_ms: u64) -> bool {
         let own_ms = self.own_ms(now_ms);
-        own_ms.is_some_and(|own_ms| self.fleet.has_share(own_ms))
+        own_ms.is_some_and(|own_ms| self.fleet.is_ready(own_ms))
     }
 
     /// Delivers an event at a time of the simulation.
