--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -76,6 +76,7 @@
     pub(crate) settings: FleetSettings,
     pub(crate) configuration: Option<Arc<Configuration>>,
     pub(crate) programs: Programs,
+    /// Idempotency keys of calls without a program.
     pub(crate) keyed: KeyedCalls,
     pub(crate) takeovers: Takeovers,
     /// Whether another process has taken over all programs of this one, because this one was
@@ -103,7 +104,13 @@
     pub(crate) next_expiry_ms: u64,
     /// Age of the store contact behind the configuration, and when this age was reported.
     store_contact: Option<(u64, u64)>,
+    /// Decisions about waiting calls and ended programs, for the next
+    /// [`ProgramAdmission::take_changes`].
+    ///
+    /// [`ProgramAdmission::take_changes`]:
+    ///     jayreel_scheduler::program_admission::ProgramAdmission::take_changes
     pub(crate) changes: ProgramChanges,
+    /// Effects for the next [`FleetState::take_effects`].
     pub(crate) effects: Vec<FleetEffect>,
     /// Unix time at `now_ms` 0. Used only for the validity of program tokens.
     unix_ms_at_zero: u64,
--- a/crates/fleet/src/program_admission.rs
+++ b/crates/fleet/src/program_admission.rs
@@ -325,8 +325,8 @@
     NotLocal(ProgramDecision),
 }
 
-/// The program token that a call names. A call that opens a program has none; the token of the
-/// parent is not meant here.
+/// Token of the program that a call belongs to. `None` for a call that opens a program, even
+/// if it names a parent.
 fn program_token(arrived: &CallArrived) -> Option<&str> {
     match &arrived.operation {
         CallOperation::CloseProgram { token } => Some(token),
--- a/crates/fleet/tests/cold_start.rs
+++ b/crates/fleet/tests/cold_start.rs
@@ -1,4 +1,5 @@
-//! What an instance must not do before it has read the registrations.
+//! The first minutes of an instance: what it must not do before it has read the registrations,
+//! how it gets into contact with discovered peers, and when it is ready.
 
 mod support;
 
@@ -53,7 +54,7 @@
     }
 }
 
-/// The reducer of an instance that has a configuration and no registrations.
+/// The reducer of `entry-0`, which has a configuration and has read no registrations.
 fn reducer() -> Reducer {
     reducer_of("entry-0")
 }
@@ -97,8 +98,8 @@
     reducer.apply(now_ms, Input::Schedule(event))
 }
 
-/// Whether an endpoint may have run the call that was refused.
-fn refused(outputs: &[Output]) -> Ran {
+/// Whether an endpoint may have run the call, as its refusal states.
+fn refused_ran(outputs: &[Output]) -> Ran {
     let refused = outputs.iter().find_map(|output| match output {
         Output::Schedule(Effect::Refuse { refusal, .. }) => Some(refusal.ran),
         _ => None,
@@ -110,10 +111,10 @@
     matches!(output, Output::Fleet(FleetEffect::ListCacheTags { .. }))
 }
 
-// Guards against a caretaker that takes the owners of cache tags for gone because it has
-// seen no registration.
+// Guards against an instance that releases cache in use: before it has read the registrations
+// it cannot tell which owners of cache tags are gone.
 #[test]
-fn caretaker_waits_for_the_registrations() {
+fn cache_sweep_waits_for_the_registrations() {
     let mut reducer = reducer();
     for now_ms in (0..2 * MINUTE_MS).step_by(50) {
         let outputs = tick(&mut reducer, now_ms);
@@ -134,8 +135,8 @@
     assert!(outputs.iter().any(lists_tags), "{outputs:?}");
 }
 
-// Guards against two instances that run one keyed call because one of them does not know
-// who is responsible.
+// Guards against two instances that both run a call with the same idempotency key, because one
+// of them does not know which instance is responsible for the key.
 #[test]
 fn keyed_call_is_refused_as_not_run() {
     let mut reducer = reducer();
@@ -144,11 +145,11 @@
             idempotency_key: Some("one".to_string()),
             ..order(id)
         };
-        assert_eq!(refused(&call(&mut reducer, now_ms, keyed)), Ran::No);
+        assert_eq!(refused_ran(&call(&mut reducer, now_ms, keyed)), Ran::No);
     }
 }
 
-// Guards against a takeover of programs whose owner is only unknown here.
+// Guards against a takeover of programs whose owner is not gone but unknown to this instance.
 #[test]
 fn programs_of_an_unknown_owner_are_not_taken_over() {
     let budget_tokens = None;
@@ -168,7 +169,7 @@
             ..order(id)
         };
         let outputs = call(&mut reducer, now_ms, next);
-        assert_eq!(refused(&outputs), Ran::No);
+        assert_eq!(refused_ran(&outputs), Ran::No);
         let claims = |output: &Output| {
             matches!(output, Output::Fleet(FleetEffect::ClaimTakeover { .. }))
         };
@@ -176,7 +177,8 @@
     }
 }
 
-fn greeted(reducer: &mut Reducer, now_ms: u64) -> Vec<String> {
+/// Peers that get a heartbeat when `entry-0` and `entry-1` are discovered.
+fn heartbeat_receivers(reducer: &mut Reducer, now_ms: u64) -> Vec<String> {
     let names = ["entry-0", "entry-1"].map(str::to_string);
     let event = FleetEvent::PeersDiscovered(names.to_vec());
     let outputs = reducer.apply(now_ms, Input::Fleet(event));
@@ -192,23 +194,32 @@
         .collect()
 }
 
-// Guards against a found peer that never learns of this instance, and against more
-// heartbeats than one a second to a known one.
+// Guards against a discovered peer that never learns of this instance, and against more than
+// one heartbeat a second to a known peer.
 #[test]
-fn found_peers_are_greeted_until_they_are_known() {
+fn discovered_peers_get_heartbeats_until_they_answer() {
     let mut reducer = reducer();
-    assert_eq!(greeted(&mut reducer, 1), ["entry-1"], "all but itself");
-    assert_eq!(greeted(&mut reducer, 2), ["entry-1"], "it has not answered");
+    assert_eq!(
+        heartbeat_receivers(&mut reducer, 1),
+        ["entry-1"],
+        "all except itself"
+    );
+    assert_eq!(
+        heartbeat_receivers(&mut reducer, 2),
+        ["entry-1"],
+        "it has not answered"
+    );
     let answer = PeerMessage::HeartbeatAnswer(heartbeat("entry-1", None));
     let event = FleetEvent::PeerMessage {
         from: "entry-1".to_string(),
         message: answer,
     };
     reducer.apply(3, Input::Fleet(event));
-    assert!(greeted(&mut reducer, 4).is_empty());
+    assert!(heartbeat_receivers(&mut reducer, 4).is_empty());
 }
 
-/// Whether an instance that hears of a live peer is ready, by its contact with the store.
+/// Whether an instance with a live peer is ready when both last had contact with the store
+/// `contact_age_ms` ago.
 fn is_ready(contact_age_ms: u64) -> bool {
     let mut reducer = reducer();
     let contact = FleetEvent::StoreContactAge(Some(contact_age_ms));
@@ -224,10 +235,11 @@
     reducer.is_ready(3)
 }
 
-// Guards against an instance that is not ready for the whole outage, and against a new fleet
-// that is ready before anybody has a share, which it could not get in an outage.
+// Guards against an instance that starts during an outage of the store and is not ready until
+// its end, and against a new fleet that is ready before any instance has a share of the rates,
+// which none could get during an outage.
 #[test]
-fn live_peer_is_enough_only_while_the_store_does_not_answer() {
+fn instance_with_a_live_peer_is_ready_only_while_the_store_does_not_answer() {
     assert!(is_ready(60_000));
     assert!(!is_ready(10));
 }
--- a/crates/fleet/tests/contact.rs
+++ b/crates/fleet/tests/contact.rs
@@ -1,4 +1,4 @@
-//! What an instance tells its peers of its contact with the store.
+//! The age of the store contact that an instance reports to its peers.
 
 mod support;
 
@@ -16,30 +16,30 @@
     Reducer::new(scheduler, fleet, 0)
 }
 
-/// The age that the answer to a heartbeat carries.
-fn told_age_ms(reducer: &mut Reducer, now_ms: u64) -> Option<u64> {
+/// The age of the store contact in the answer to a heartbeat.
+fn reported_age_ms(reducer: &mut Reducer, now_ms: u64) -> Option<u64> {
     let event = FleetEvent::PeerMessage {
         from: "entry-1".to_string(),
         message: PeerMessage::Heartbeat(heartbeat("entry-1", None)),
     };
     let outputs = reducer.apply(now_ms, Input::Fleet(event));
-    let answers = outputs.iter().find_map(|output| match output {
+    let age_ms = outputs.iter().find_map(|output| match output {
         Output::Fleet(FleetEffect::Send {
             message: PeerMessage::HeartbeatAnswer(answer),
             ..
         }) => Some(answer.store_contact_age_ms),
         _ => None,
     });
-    answers.expect("an answer")
+    age_ms.expect("an answer to the heartbeat")
 }
 
-// Guards against two instances that keep each other's contact fresh while both wait for a
-// silent store, so that withdrawn keys are accepted without end (G7).
+// Guards against two instances that both wait for a store that does not answer and report a
+// recent contact to each other. They would accept withdrawn keys without end (G7).
 #[test]
-fn told_contact_age_grows_without_news_of_the_store() {
+fn reported_contact_age_grows_while_the_store_is_silent() {
     let mut reducer = reducer();
-    assert_eq!(told_age_ms(&mut reducer, 500), None);
+    assert_eq!(reported_age_ms(&mut reducer, 500), None);
     reducer.apply(1_000, Input::Fleet(FleetEvent::StoreContactAge(Some(40))));
-    assert_eq!(told_age_ms(&mut reducer, 1_000), Some(40));
-    assert_eq!(told_age_ms(&mut reducer, 7_000), Some(6_040));
+    assert_eq!(reported_age_ms(&mut reducer, 1_000), Some(40));
+    assert_eq!(reported_age_ms(&mut reducer, 7_000), Some(6_040));
 }
--- a/crates/fleet/tests/heartbeats.rs
+++ b/crates/fleet/tests/heartbeats.rs
@@ -1,28 +1,28 @@
-//! What heartbeats tell about the sender.
+//! The state of the sender that heartbeats carry.
 
 mod support;
 
 use jayreel_fleet::{FleetEffect, Input, Output, PeerMessage};
 use jayreel_scheduler::Event;
-use support::{World, chat, registered};
+use support::{TestInstance, chat, registered};
 
-/// Guards against heartbeats that always tell 0 waiting calls.
+/// Guards against heartbeats that always report 0 waiting calls.
 #[test]
-fn heartbeat_tells_the_calls_in_queues() {
-    let mut world = World::new("entry-0");
-    world.configure(|configuration| {
+fn heartbeat_reports_the_queued_calls() {
+    let mut instance = TestInstance::new("entry-0");
+    instance.configure(|configuration| {
         let engine = configuration.endpoints.get_mut("engine-0").unwrap();
         engine.slots = 1;
     });
-    world.register(&[
+    instance.register(&[
         registered("entry-0", "zone-0"),
         registered("entry-1", "zone-0"),
     ]);
-    world.take_share();
+    instance.take_share();
     for id in 1..=3 {
-        world.apply(chat(id));
+        instance.apply(chat(id));
     }
-    let told: Vec<u32> = world
+    let reported: Vec<u32> = instance
         .apply_after(1_000, Input::Schedule(Event::Tick))
         .iter()
         .filter_map(|output| match output {
@@ -33,5 +33,5 @@
             _ => None,
         })
         .collect();
-    assert_eq!(told, [2]);
+    assert_eq!(reported, [2]);
 }
--- a/crates/fleet/tests/pair/node.rs
+++ b/crates/fleet/tests/pair/instance.rs
@@ -1,4 +1,4 @@
-//! One instance with the threads that talk to the store for it.
+//! One instance, with a simulation of the threads that access the store for it.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -10,33 +10,35 @@
 use jayreel_programs::TokenKey;
 use jayreel_scheduler::quota_admission::{QuotaAdmission, QuotaDecision};
 
-use super::store::Store;
-use super::{Plan, STEP_MS};
+use super::store::SimulatedStore;
+use super::{STEP_MS, Scenario};
 
 const CUSTOMER: &str = "alpha";
 const READ_INTERVAL_MS: u64 = 2_000;
 const RENEW_INTERVAL_MS: u64 = 3_000;
 const TICK_MS: u64 = 50;
 
-/// An instance. Its clock starts at 0 when the process starts.
-pub(super) struct Node {
+/// An instance whose own clock starts at 0 when its process starts.
+pub(super) struct SimulatedInstance {
     own: Incarnation,
     starts_ms: u64,
-    plan: Plan,
+    scenario: Scenario,
     fleet: FleetState,
-    /// What it will learn, with the time of delivery.
+    /// Events to be delivered, each with its time of delivery in the simulation.
     inbox: VecDeque<(u64, FleetEvent)>,
-    /// Messages to peers that are not under way yet.
-    pub sends: Vec<FleetEffect>,
-    /// Writes that the store has not processed yet.
+    /// Messages to peers that were not sent yet.
+    pub outgoing: Vec<FleetEffect>,
+    /// Writes that were not sent to the store yet.
     writes: VecDeque<FleetEffect>,
-    /// The answer to the last write, and the read after it, come at this time.
+    /// The answer to the last write, with its time in the simulation. The record is read again
+    /// at that time.
     write_answer: Option<(u64, FleetEvent)>,
+    /// Times in the simulation at which calls were served.
     pub served_ms: Vec<u64>,
 }
 
-impl Node {
-    pub fn new(index: u64, starts_ms: u64, plan: Plan) -> Node {
+impl SimulatedInstance {
+    pub fn new(index: u64, starts_ms: u64, scenario: Scenario) -> SimulatedInstance {
         let own = Incarnation {
             instance: format!("entry-{index}"),
             number: 7 + index,
@@ -45,16 +47,16 @@
         let settings =
             FleetSettings::new(own.clone(), "zone-0", own.to_string(), token_key);
         let mut fleet = FleetState::new(settings, 0);
-        let configuration = Arc::new(configuration(plan.rate_per_s));
+        let configuration = Arc::new(configuration(scenario.rate_per_s));
         fleet.configure(0, &configuration);
         fleet.apply(0, FleetEvent::ConfigurationChanged(configuration));
-        Node {
+        SimulatedInstance {
             own,
             starts_ms,
-            plan,
+            scenario,
             fleet,
             inbox: VecDeque::new(),
-            sends: Vec::new(),
+            outgoing: Vec::new(),
             writes: VecDeque::new(),
             write_answer: None,
             served_ms: Vec::new(),
@@ -65,81 +67,92 @@
         self.own.instance.clone()
     }
 
-    /// Home weight by the record that this instance has read.
-    pub fn held_ppm(&mut self, now_ms: u64) -> u32 {
-        let own_ms = self.own_ms(now_ms);
-        own_ms.map_or(0, |own_ms| self.fleet.status(own_ms).home_weight_ppm)
+    /// Home weight by the record that this instance has read, 0 before it starts.
+    pub fn home_weight_ppm(&mut self, now_ms: u64) -> u32 {
+        let local_ms = self.local_ms(now_ms);
+        local_ms.map_or(0, |local_ms| self.fleet.status(local_ms).home_weight_ppm)
     }
 
-    /// Whether it knows of a home weight that is not in force yet.
-    pub fn waits_for_share(&mut self, now_ms: u64) -> bool {
-        let status = self.own_ms(now_ms).map(|own_ms| self.fleet.status(own_ms));
+    /// Whether this instance holds a home weight by the record that is not in force yet.
+    pub fn has_weight_not_in_force(&mut self, now_ms: u64) -> bool {
+        let status = self
+            .local_ms(now_ms)
+            .map(|local_ms| self.fleet.status(local_ms));
         status.is_some_and(|status| status.home_in_force_ppm < status.home_weight_ppm)
     }
 
-    /// Whether the other instance is alive, as this one sees it.
+    /// Whether this instance considers the other one alive.
     pub fn sees_peer(&mut self, now_ms: u64) -> bool {
-        let own_ms = self.own_ms(now_ms);
-        let peers = own_ms.map_or(Vec::new(), |own_ms| self.fleet.status(own_ms).peers);
+        let local_ms = self.local_ms(now_ms);
+        let peers =
+            local_ms.map_or(Vec::new(), |local_ms| self.fleet.status(local_ms).peers);
         peers.iter().any(|peer| peer.liveness == "alive")
     }
 
     pub fn is_ready(&mut self, now_ms: u64) -> bool {
-        let own_ms = self.own_ms(now_ms);
-        own_ms.is_some_and(|own_ms| self.fleet.is_ready(own_ms))
+        let local_ms = self.local_ms(now_ms);
+        local_ms.is_some_and(|local_ms| self.fleet.is_ready(local_ms))
     }
 
-    /// Delivers an event at a time of the simulation.
+    /// Delivers an event at the time `at_ms` of the simulation.
     pub fn deliver(&mut self, at_ms: u64, event: FleetEvent) {
         self.inbox.push_back((at_ms, event));
     }
 
-    pub fn step(&mut self, now_ms: u64, store: &mut Store) {
-        let Some(own_ms) = self.own_ms(now_ms) else {
+    /// Simulates one time step. Events for an instance that has not started are lost.
+    pub fn step(&mut self, now_ms: u64, store: &mut SimulatedStore) {
+        let Some(local_ms) = self.local_ms(now_ms) else {
             self.inbox.clear();
             return;
         };
-        self.receive(now_ms, own_ms);
-        self.contact_store(now_ms, own_ms, store);
-        self.write_home(now_ms, own_ms, store);
-        if own_ms.is_multiple_of(TICK_MS) {
-            self.fleet.apply(own_ms, FleetEvent::Tick);
+        self.receive(now_ms, local_ms);
+        self.contact_store(now_ms, local_ms, store);
+        self.write_home(now_ms, local_ms, store);
+        if local_ms.is_multiple_of(TICK_MS) {
+            self.fleet.apply(local_ms, FleetEvent::Tick);
         }
-        if own_ms.is_multiple_of(self.plan.call_interval_ms) {
-            self.call(now_ms, own_ms);
+        if local_ms.is_multiple_of(self.scenario.call_interval_ms) {
+            self.call(now_ms, local_ms);
         }
         for effect in self.fleet.take_effects() {
             match effect {
-                FleetEffect::Send { .. } => self.sends.push(effect),
+                FleetEffect::Send { .. } => self.outgoing.push(effect),
                 FleetEffect::WriteHomeWeights { .. } => self.writes.push_back(effect),
                 _ => {}
             }
         }
     }
 
-    fn own_ms(&self, now_ms: u64) -> Option<u64> {
+    /// Time of this instance's own clock. `None` before it starts.
+    fn local_ms(&self, now_ms: u64) -> Option<u64> {
         now_ms.checked_sub(self.starts_ms)
     }
 
-    fn receive(&mut self, now_ms: u64, own_ms: u64) {
+    fn receive(&mut self, now_ms: u64, local_ms: u64) {
         for (at_ms, event) in std::mem::take(&mut self.inbox) {
             match at_ms <= now_ms {
-                true => self.fleet.apply(own_ms, event),
+                true => self.fleet.apply(local_ms, event),
                 false => self.inbox.push_back((at_ms, event)),
             }
         }
     }
 
-    fn call(&mut self, now_ms: u64, own_ms: u64) {
-        if self.fleet.take(own_ms, CUSTOMER) == QuotaDecision::Taken {
-            self.fleet.sent(own_ms, CUSTOMER, own_ms);
+    /// A call of the customer arrives. It is served if the quota permits.
+    fn call(&mut self, now_ms: u64, local_ms: u64) {
+        if self.fleet.take(local_ms, CUSTOMER) == QuotaDecision::Taken {
+            self.fleet.sent(local_ms, CUSTOMER, local_ms);
             self.served_ms.push(now_ms);
         }
     }
 
-    /// Renews the registration and reads what all instances share.
-    fn contact_store(&mut self, now_ms: u64, sent_at_ms: u64, store: &mut Store) {
-        let since_ms = sent_at_ms.checked_sub(self.plan.registration_ms);
+    /// Renews the registration and reads registrations and home weights, at fixed intervals.
+    fn contact_store(
+        &mut self,
+        now_ms: u64,
+        sent_at_ms: u64,
+        store: &mut SimulatedStore,
+    ) {
+        let since_ms = sent_at_ms.checked_sub(self.scenario.registration_ms);
         if since_ms.is_some_and(|since_ms| since_ms.is_multiple_of(RENEW_INTERVAL_MS)) {
             let entry = RegisteredInstance {
                 incarnation: self.own.clone(),
@@ -165,15 +178,15 @@
         }
     }
 
-    /// Carries out one write at a time, as the thread for writes does.
-    fn write_home(&mut self, now_ms: u64, own_ms: u64, store: &mut Store) {
+    /// Carries out one write of the home weights at a time, as the thread for writes does.
+    fn write_home(&mut self, now_ms: u64, local_ms: u64, store: &mut SimulatedStore) {
         if let Some((at_ms, event)) = self.write_answer.take() {
             if now_ms < at_ms {
                 self.write_answer = Some((at_ms, event));
                 return;
             }
             self.deliver(now_ms + STEP_MS, event);
-            self.read_home(now_ms, own_ms, store);
+            self.read_home(now_ms, local_ms, store);
         }
         let Some(FleetEffect::WriteHomeWeights {
             record, version, ..
@@ -183,11 +196,11 @@
         };
         if let Some(accepted) = store.write_home(record, version) {
             let event = FleetEvent::HomeWeightsWritten { version, accepted };
-            self.write_answer = Some((now_ms + self.plan.write_answer_ms, event));
+            self.write_answer = Some((now_ms + self.scenario.write_answer_ms, event));
         }
     }
 
-    fn read_home(&mut self, now_ms: u64, sent_at_ms: u64, store: &mut Store) {
+    fn read_home(&mut self, now_ms: u64, sent_at_ms: u64, store: &mut SimulatedStore) {
         if let Some((record, version)) = store.home() {
             let event = FleetEvent::HomeWeightsRead {
                 sent_at_ms,
--- a/crates/fleet/tests/pair/mod.rs
+++ b/crates/fleet/tests/pair/mod.rs
@@ -1,115 +1,136 @@
-//! Two instances and their store, in virtual time.
+//! Simulation of two instances and their store in virtual time. The store can become
+//! unreachable at a chosen request.
 
-mod node;
+mod instance;
 mod store;
 
 use jayreel_fleet::{FleetEffect, FleetEvent};
 
-use self::node::Node;
-use self::store::Store;
+use self::instance::SimulatedInstance;
+use self::store::SimulatedStore;
 
-/// Time between two steps of the simulation.
+/// Length of one step of the simulation.
 pub const STEP_MS: u64 = 10;
 
-/// One run.
+/// Parameters of one run of the simulation.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
-    /// Each instance sends a call this often.
+pub struct Scenario {
+    /// Time between two calls that arrive at each instance.
     pub call_interval_ms: u64,
-    /// Contract of the customer: calls per second, which is also the burst.
+    /// Calls per second of the customer's contract, which are also its burst.
     pub rate_per_s: u64,
     /// When the second instance starts. The first one starts at 0.
     pub second_starts_ms: u64,
-    /// Time between the start of a process and its registration.
+    /// Time between the start of an instance and its registration.
     pub registration_ms: u64,
-    /// Time between the effect of a write in the store and its answer.
+    /// Time between a write in the store and the arrival of its answer.
     pub write_answer_ms: u64,
-    /// The call to the store at which the store is cut from both instances.
-    pub cut_at: Option<usize>,
-    /// Whether the call at the cut takes effect although nobody learns of it.
-    pub last_call_counts: bool,
+    /// Number of the request, from 0, at which the store becomes unreachable for both
+    /// instances. `None` for a run without an outage.
+    pub outage_at_request: Option<usize>,
+    /// Whether the request at which the outage begins takes effect in the store although its
+    /// answer is lost.
+    pub last_request_takes_effect: bool,
 }
 
-/// What was seen at the cut and after it.
+/// What happened in a run, at the beginning of the outage and after it.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    /// Calls to the store before it was cut.
-    pub store_calls: usize,
-    /// When the store was cut.
-    pub cut_ms: Option<u64>,
-    /// Home weight of each instance by the record that it had read at the cut.
-    pub held_ppm: Vec<u32>,
-    /// Whether each instance saw the other alive at the cut.
+pub struct Observations {
+    /// Number of requests to the store, including the one at which the outage begins.
+    pub store_requests: usize,
+    /// When the outage began. `None` if there was none.
+    pub outage_ms: Option<u64>,
+    /// Home weight of each instance when the outage began, by the record that it had read.
+    pub home_weight_ppm: Vec<u32>,
+    /// Whether each instance considered the other one alive when the outage began.
     pub connected: Vec<bool>,
-    /// Whether each instance was ready at the cut.
+    /// Whether each instance was ready when the outage began.
     pub ready: Vec<bool>,
-    /// Whether the store was cut at a write, which may have taken effect or not.
-    pub cut_at_write: bool,
-    /// Steps at which an instance knew of a home weight that was not in force yet.
+    /// Whether the outage began at a write, which may or may not have taken effect.
+    pub outage_at_write: bool,
+    /// Number of steps, summed over the instances, in which one held a home weight by the
+    /// record that was not in force yet.
     pub steps_not_in_force: usize,
-    /// When calls of each instance were served.
+    /// For each instance, the times at which it served calls.
     pub served_ms: Vec<Vec<u64>>,
 }
 
-impl Seen {
-    /// Calls that an instance served in `from_ms..until_ms` after the cut.
-    pub fn served_after_cut(&self, node: usize, from_ms: u64, until_ms: u64) -> usize {
-        let cut_ms = self.cut_ms.unwrap_or(0);
-        let range = cut_ms + from_ms..cut_ms + until_ms;
-        let served = self.served_ms[node].iter();
+impl Observations {
+    /// Number of calls that an instance served from `from_ms` until `until_ms` after the
+    /// beginning of the outage.
+    pub fn served_in_outage(
+        &self,
+        instance: usize,
+        from_ms: u64,
+        until_ms: u64,
+    ) -> usize {
+        let outage_ms = self.outage_ms.unwrap_or(0);
+        let range = outage_ms + from_ms..outage_ms + until_ms;
+        let served = self.served_ms[instance].iter();
         served.filter(|at_ms| range.contains(*at_ms)).count()
     }
 }
 
-/// Runs for `until_ms`, or for `after_cut_ms` after the cut.
-pub fn run(plan: Plan, until_ms: u64, after_cut_ms: u64) -> Seen {
-    let mut store = Store::new(plan.cut_at, plan.last_call_counts);
-    let mut nodes = [
-        Node::new(0, 0, plan),
-        Node::new(1, plan.second_starts_ms, plan),
+/// Runs the simulation until `until_ms`, or for `outage_duration_ms` after the beginning of an
+/// outage.
+pub fn run(scenario: Scenario, until_ms: u64, outage_duration_ms: u64) -> Observations {
+    let mut store = SimulatedStore::new(
+        scenario.outage_at_request,
+        scenario.last_request_takes_effect,
+    );
+    let mut instances = [
+        SimulatedInstance::new(0, 0, scenario),
+        SimulatedInstance::new(1, scenario.second_starts_ms, scenario),
     ];
-    let mut seen = Seen::default();
+    let mut observed = Observations::default();
     let mut now_ms = 0;
     let mut end_ms = until_ms;
     while now_ms < end_ms {
-        for node in &mut nodes {
-            node.step(now_ms, &mut store);
+        for instance in &mut instances {
+            instance.step(now_ms, &mut store);
         }
-        exchange(now_ms, &mut nodes);
-        if store.is_cut() && seen.cut_ms.is_none() {
-            seen.cut_ms = Some(now_ms);
-            seen.held_ppm = nodes.iter_mut().map(|node| node.held_ppm(now_ms)).collect();
-            seen.connected = nodes
+        exchange(now_ms, &mut instances);
+        if store.is_unreachable() && observed.outage_ms.is_none() {
+            observed.outage_ms = Some(now_ms);
+            observed.home_weight_ppm = instances
                 .iter_mut()
-                .map(|node| node.sees_peer(now_ms))
+                .map(|instance| instance.home_weight_ppm(now_ms))
                 .collect();
-            seen.ready = nodes.iter_mut().map(|node| node.is_ready(now_ms)).collect();
-            end_ms = now_ms + after_cut_ms;
+            observed.connected = instances
+                .iter_mut()
+                .map(|instance| instance.sees_peer(now_ms))
+                .collect();
+            observed.ready = instances
+                .iter_mut()
+                .map(|instance| instance.is_ready(now_ms))
+                .collect();
+            end_ms = now_ms + outage_duration_ms;
         }
-        for node in &mut nodes {
-            seen.steps_not_in_force += usize::from(node.waits_for_share(now_ms));
+        for instance in &mut instances {
+            observed.steps_not_in_force +=
+                usize::from(instance.has_weight_not_in_force(now_ms));
         }
         now_ms += STEP_MS;
     }
-    seen.cut_at_write = store.is_cut_at_write();
-    seen.store_calls = store.calls();
-    seen.served_ms = nodes.map(|node| node.served_ms).into();
-    seen
+    observed.outage_at_write = store.is_outage_at_write();
+    observed.store_requests = store.request_count();
+    observed.served_ms = instances.map(|instance| instance.served_ms).into();
+    observed
 }
 
-/// Delivers messages between the instances in the next step.
-fn exchange(now_ms: u64, nodes: &mut [Node; 2]) {
+/// Passes messages between the instances. They arrive in the next step.
+fn exchange(now_ms: u64, instances: &mut [SimulatedInstance; 2]) {
     for from in 0..2 {
-        for effect in std::mem::take(&mut nodes[from].sends) {
+        for effect in std::mem::take(&mut instances[from].outgoing) {
             let FleetEffect::Send { to, message } = effect else {
                 continue;
             };
-            let sender = nodes[from].name();
+            let sender = instances[from].name();
             let event = FleetEvent::PeerMessage {
                 from: sender,
                 message,
             };
-            let receiver = nodes.iter_mut().find(|node| node.name() == to);
+            let receiver = instances.iter_mut().find(|instance| instance.name() == to);
             if let Some(receiver) = receiver {
                 receiver.deliver(now_ms + STEP_MS, event);
             }
--- a/crates/fleet/tests/pair/store.rs
+++ b/crates/fleet/tests/pair/store.rs
@@ -1,48 +1,54 @@
-//! The store: home weights and registrations.
+//! A store in memory that holds the home weights and the registrations.
 
 use jayreel_fleet::RegisteredInstance;
 use jayreel_quota::home_weights::HomeRecord;
 use std::collections::BTreeMap;
 
-/// A store that is cut off at one call.
-pub(super) struct Store {
+/// A store that becomes unreachable at one request.
+pub(super) struct SimulatedStore {
     record: HomeRecord,
     version: u64,
     registered: BTreeMap<String, RegisteredInstance>,
-    calls: usize,
-    cut_at: Option<usize>,
-    last_call_counts: bool,
-    /// Whether the call at the cut was a write.
-    cut_at_write: bool,
+    request_count: usize,
+    outage_at_request: Option<usize>,
+    last_request_takes_effect: bool,
+    /// Whether the request at which the outage began was a write.
+    outage_at_write: bool,
 }
 
-impl Store {
-    pub fn new(cut_at: Option<usize>, last_call_counts: bool) -> Store {
-        Store {
+impl SimulatedStore {
+    pub fn new(
+        outage_at_request: Option<usize>,
+        last_request_takes_effect: bool,
+    ) -> SimulatedStore {
+        SimulatedStore {
             record: HomeRecord::default(),
             version: 0,
             registered: BTreeMap::new(),
-            calls: 0,
-            cut_at,
-            last_call_counts,
-            cut_at_write: false,
+            request_count: 0,
+            outage_at_request,
+            last_request_takes_effect,
+            outage_at_write: false,
         }
     }
 
-    pub fn calls(&self) -> usize {
-        self.calls
+    pub fn request_count(&self) -> usize {
+        self.request_count
     }
 
-    pub fn is_cut(&self) -> bool {
-        self.cut_at.is_some_and(|cut_at| self.calls > cut_at)
+    /// Whether the outage has begun.
+    pub fn is_unreachable(&self) -> bool {
+        self.outage_at_request
+            .is_some_and(|outage_at_request| self.request_count > outage_at_request)
     }
 
-    pub fn is_cut_at_write(&self) -> bool {
-        self.cut_at_write
+    pub fn is_outage_at_write(&self) -> bool {
+        self.outage_at_write
     }
 
+    /// Writes a registration. Returns whether the request was answered.
     pub fn register(&mut self, entry: RegisteredInstance) -> bool {
-        let (takes_effect, answered) = self.call(true);
+        let (takes_effect, answered) = self.request(true);
         if takes_effect {
             let name = entry.incarnation.instance.clone();
             self.registered.insert(name, entry);
@@ -51,18 +57,19 @@
     }
 
     pub fn registrations(&mut self) -> Option<Vec<RegisteredInstance>> {
-        let (_, answered) = self.call(false);
+        let (_, answered) = self.request(false);
         answered.then(|| self.registered.values().cloned().collect())
     }
 
     pub fn home(&mut self) -> Option<(HomeRecord, u64)> {
-        let (_, answered) = self.call(false);
+        let (_, answered) = self.request(false);
         answered.then(|| (self.record.clone(), self.version))
     }
 
-    /// Whether the write was accepted. `None` without an answer.
+    /// Replaces the home weights if the record still has this version. Returns whether it did,
+    /// or `None` without an answer.
     pub fn write_home(&mut self, record: HomeRecord, version: u64) -> Option<bool> {
-        let (takes_effect, answered) = self.call(true);
+        let (takes_effect, answered) = self.request(true);
         let accepted = takes_effect && version == self.version;
         if accepted {
             self.record = record;
@@ -71,16 +78,16 @@
         answered.then_some(accepted)
     }
 
-    /// Whether the next call takes effect, and whether it is answered.
-    fn call(&mut self, is_write: bool) -> (bool, bool) {
-        if self.is_cut() {
+    /// Counts a request. Returns whether it takes effect, and whether it is answered.
+    fn request(&mut self, is_write: bool) -> (bool, bool) {
+        if self.is_unreachable() {
             return (false, false);
         }
-        self.calls += 1;
-        if !self.is_cut() {
+        self.request_count += 1;
+        if !self.is_unreachable() {
             return (true, true);
         }
-        self.cut_at_write = is_write;
-        (self.last_call_counts, false)
+        self.outage_at_write = is_write;
+        (self.last_request_takes_effect, false)
     }
 }
--- a/crates/fleet/tests/searches.rs
+++ b/crates/fleet/tests/searches.rs
@@ -1,4 +1,5 @@
-//! The searches over all programs, which run only on some events.
+//! The checks of all programs for idle ones and for needed grants. They run only after some
+//! events, because each visits every program.
 
 mod support;
 
@@ -13,8 +14,9 @@
 use support::{engine, incarnation};
 
 const IDLE_MS: u64 = 60_000;
-/// Longest time between a program's idle time and the search that ends it, with one tick.
-const SEARCH_MS: u64 = 300;
+/// Longest time between the end of a program's idle time and the check that closes it: the
+/// interval of the checks and one tick.
+const CHECK_DELAY_MS: u64 = 300;
 const BUDGET_TOKENS: u64 = 100_000;
 
 fn reducer() -> Reducer {
@@ -68,6 +70,7 @@
     })))
 }
 
+/// Opens a program and returns its token.
 fn open(reducer: &mut Reducer) -> String {
     let budget_tokens = None;
     let operation = CallOperation::OpenProgram { budget_tokens };
@@ -82,7 +85,8 @@
     token.unwrap_or_else(|| panic!("no program was opened: {outputs:?}"))
 }
 
-fn is_closed_by(reducer: &mut Reducer, now_ms: u64, token: &str) -> bool {
+/// Tries to close the program. Returns false if it has ended already.
+fn close(reducer: &mut Reducer, now_ms: u64, token: &str) -> bool {
     let token = token.to_string();
     let outputs = reducer.apply(
         now_ms,
@@ -94,26 +98,27 @@
     })
 }
 
-/// Guards against programs that outlive their idle time because the search for them is
-/// left out.
+/// Guards against programs that stay open after their idle time because no check for idle
+/// programs runs.
 #[test]
 fn an_idle_program_ends_soon_after_its_idle_time() {
     let mut early = reducer();
     let token = open(&mut early);
     early.apply(IDLE_MS - 1, Input::Schedule(Event::Tick));
-    assert!(is_closed_by(&mut early, IDLE_MS - 1, &token));
+    assert!(close(&mut early, IDLE_MS - 1, &token));
 
     let mut late = reducer();
     let token = open(&mut late);
-    for now_ms in (IDLE_MS - 1..=IDLE_MS + SEARCH_MS).step_by(50) {
+    for now_ms in (IDLE_MS - 1..=IDLE_MS + CHECK_DELAY_MS).step_by(50) {
         late.apply(now_ms, Input::Schedule(Event::Tick));
     }
-    assert!(!is_closed_by(&mut late, IDLE_MS + SEARCH_MS, &token));
+    assert!(!close(&mut late, IDLE_MS + CHECK_DELAY_MS, &token));
 }
 
-/// Guards against a call that waits for a grant which nobody asks the store for.
+/// Guards against a call that waits for a grant although no write of the budget record is
+/// requested.
 #[test]
-fn a_call_beyond_the_first_tranche_asks_for_a_grant_at_once() {
+fn a_call_beyond_the_first_tranche_requests_a_grant_at_once() {
     let mut reducer = reducer();
     let token = open(&mut reducer);
     let operation = CallOperation::Chat {
@@ -123,13 +128,14 @@
         prefix_hashes: Vec::new(),
     };
     let outputs = reducer.apply(10, arrived(3, Some(&token), operation));
-    let asks =
+    let writes_budget =
         |output: &Output| matches!(output, Output::Fleet(FleetEffect::WriteBudget(_)));
-    assert!(outputs.iter().any(asks), "{outputs:?}");
+    assert!(outputs.iter().any(writes_budget), "{outputs:?}");
 }
 
-/// Guards against a call that is told to wait for a grant and is not decided when the
-/// grant fails, because events of the fleet step no longer bring a tick.
+/// Guards against a call that waits for a grant and gets no decision when the write of the
+/// grant fails. Events of the fleet do not cause a tick, so the scheduler must be notified
+/// directly.
 #[test]
 fn a_failed_grant_refuses_the_waiting_call_at_once() {
     let mut reducer = reducer();
--- a/crates/fleet/tests/support/engine.rs
+++ b/crates/fleet/tests/support/engine.rs
@@ -1,18 +1,23 @@
-//! An engine that carries out orders at once, except that loads end when told.
+//! A simulated engine. It carries out orders at once, except that loads stay in progress until
+//! [`TestEngine::finish_loads`].
 
 use jayreel_fleet::OrderAnswer;
 use jayreel_model::{EngineModels, EngineOrder, LoadState, LoadedAdapter, LoadedModel};
 
-/// See the module documentation.
+/// An engine that has loaded nothing. It ignores fencing numbers unless `checks_fencing` is
+/// set.
 #[derive(Clone, Debug, Default)]
 pub struct TestEngine {
+    /// Whether it refuses orders with a lower fencing number than the highest that it has seen.
     pub checks_fencing: bool,
-    newest: u64,
+    /// Highest fencing number of an order so far.
+    highest_fencing: u64,
+    /// What it reports to have loaded. The fencing number is that of the last accepted order.
     pub report: EngineModels,
 }
 
 impl TestEngine {
-    /// An engine with the model `model` in a version.
+    /// An engine that has loaded this version of `model`.
     pub fn with_version(checks_fencing: bool, version: &str) -> TestEngine {
         let mut engine = TestEngine {
             checks_fencing,
@@ -23,12 +28,12 @@
         engine
     }
 
-    /// Takes an order as it arrives.
+    /// Carries out an order, unless it is refused, and returns the answer.
     pub fn submit(&mut self, fencing: u64, order: &EngineOrder) -> OrderAnswer {
-        if self.checks_fencing && fencing < self.newest {
+        if self.checks_fencing && fencing < self.highest_fencing {
             return OrderAnswer::Superseded;
         }
-        self.newest = self.newest.max(fencing);
+        self.highest_fencing = self.highest_fencing.max(fencing);
         self.report.fencing = fencing;
         self.carry_out(order);
         OrderAnswer::Accepted
@@ -43,7 +48,7 @@
         }
     }
 
-    /// The versions of `model`.
+    /// The versions of `model` that are loaded or loading.
     pub fn versions(&self) -> Vec<&str> {
         let models = self.report.models.iter();
         models.filter_map(|one| one.version.as_deref()).collect()
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A reducer of one instance with a customer, an engine and a clock.
+//! A reducer of one instance for tests, with a customer, an engine and a clock.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// A heartbeat of a serving instance in `zone-0`.
+/// A heartbeat of a serving instance in `zone-0`, with its age of the store contact.
 pub fn heartbeat(instance: &str, store_contact_age_ms: Option<u64>) -> Heartbeat {
     Heartbeat {
         incarnation: incarnation(instance),
@@ -52,7 +52,7 @@
     }
 }
 
-/// A call of model `model`.
+/// A call of the model `model` by the customer `alpha`.
 pub fn chat(id: u64) -> Input {
     Input::Schedule(Event::CallArrived(Box::new(CallArrived {
         request_id: RequestId(id),
@@ -73,7 +73,7 @@
     })))
 }
 
-/// An engine in `zone-0` with the model `model`.
+/// Endpoint record of an engine in `zone-0` that is to load `model`, in any version.
 pub fn engine() -> Endpoint {
     Endpoint {
         kind: EndpointKind::ModelEngine,
@@ -109,39 +109,41 @@
     configuration
 }
 
-/// A reducer with its clock and configuration.
-pub struct World {
+/// The reducer of an instance, with its clock and configuration.
+pub struct TestInstance {
     reducer: Reducer,
     pub configuration: Configuration,
     pub now_ms: u64,
 }
 
-impl World {
-    /// An instance in `zone-0`.
-    pub fn new(instance: &str) -> World {
-        let own = incarnation(instance);
+impl TestInstance {
+    /// The instance with this name, in `zone-0`. It has a configuration and no registrations.
+    pub fn new(name: &str) -> TestInstance {
+        let own = incarnation(name);
         let scheduler = SchedulerSettings::new(own.clone(), "zone-0", 7);
         let token_key = TokenKey::derive("t");
         let fleet = FleetSettings::new(own, "zone-0", "127.0.0.1:1", token_key);
-        let mut world = World {
+        let mut instance = TestInstance {
             reducer: Reducer::new(scheduler, fleet, 0),
             configuration: configuration(),
             now_ms: 0,
         };
-        world.configure(|_| {});
-        world
+        instance.configure(|_| {});
+        instance
     }
 
+    /// Applies an input one millisecond after the previous one.
     pub fn apply(&mut self, input: Input) -> Vec<Output> {
         self.apply_after(1, input)
     }
 
+    /// Applies an input `ms` milliseconds after the previous one.
     pub fn apply_after(&mut self, ms: u64, input: Input) -> Vec<Output> {
         self.now_ms += ms;
         self.reducer.apply(self.now_ms, input)
     }
 
-    /// Puts a changed configuration in force.
+    /// Changes the configuration and puts it in force with the next revision.
     pub fn configure(&mut self, change: impl FnOnce(&mut Configuration)) -> Vec<Output> {
         self.configuration.revision += 1;
         change(&mut self.configuration);
@@ -149,7 +151,7 @@
         self.apply(Input::Schedule(Event::ConfigurationChanged(configuration)))
     }
 
-    /// The registrations are read.
+    /// The instance reads that these instances are registered.
     pub fn register(&mut self, registered: &[RegisteredInstance]) {
         let event = FleetEvent::RegistrationsRead {
             sent_at_ms: self.now_ms,
@@ -159,15 +161,16 @@
         self.apply(Input::Fleet(event));
     }
 
-    /// A heartbeat of an instance in `zone-0` arrives.
-    pub fn hear(&mut self, instance: &str) {
-        let from = instance.to_string();
-        let message = PeerMessage::Heartbeat(heartbeat(instance, Some(0)));
+    /// A heartbeat of an instance in `zone-0` arrives, which has just had contact with the
+    /// store.
+    pub fn receive_heartbeat(&mut self, from: &str) {
+        let message = PeerMessage::Heartbeat(heartbeat(from, Some(0)));
+        let from = from.to_string();
         let event = FleetEvent::PeerMessage { from, message };
         self.apply(Input::Fleet(event));
     }
 
-    /// The instance creates the record of home weights and gets its rates.
+    /// The instance creates the record of home weights and gets the whole rate of all customers.
     pub fn take_share(&mut self) {
         let sent_at_ms = self.now_ms;
         self.apply(Input::Fleet(FleetEvent::RegistrationRenewed { sent_at_ms }));
