--- a/crates/fleet/src/cache_sweep.rs
+++ b/crates/fleet/src/cache_sweep.rs
@@ -1,9 +1,9 @@
 //! Releases cache at engines that no program needs any more.
 //!
-//! Instances release the cache of their own programs when these end. This sweep finds what a
-//! crash leaves behind: one instance is responsible for each engine, lists its cache tags and
-//! asks the owner of each tag. Two instances with different membership views may both be
-//! responsible. That is harmless, because a released tag is never used again.
+//! Instances release the cache of their own programs when these end. This sweep finds what
+//! a crash leaves behind: one instance is responsible for each engine, lists its cache tags
+//! and asks the owner of each tag. Two instances with different membership views may both
+//! be responsible. That is harmless, because a released tag is never used again.
 
 use std::collections::BTreeMap;
 
@@ -50,8 +50,8 @@
         self.effects.extend(effects);
     }
 
-    /// Handles the list of an engine's tags: releases those that have no owner any more, and
-    /// asks the owners of the others.
+    /// Handles the list of an engine's tags: releases those that have no owner any more,
+    /// and asks the owners of the others.
     pub(crate) fn tags_listed(&mut self, now_ms: u64, endpoint: &str, tags: Vec<String>) {
         for text in tags {
             let Ok(tag) = text.parse::<CacheTag>() else {
@@ -166,8 +166,8 @@
             })
             .collect();
         for (peer, tags) in queries {
-            // The answer releases all queried tags that it does not name, so tags beyond the
-            // limit must not count as queried.
+            // The answer releases all queried tags that it does not name, so tags beyond
+            // the limit must not count as queried.
             if let Some(queried) = self.cache_sweep.queried.get_mut(&peer) {
                 queried.retain(|tag, _| tags.contains(tag));
             }
--- a/crates/fleet/src/engine_state.rs
+++ b/crates/fleet/src/engine_state.rs
@@ -5,8 +5,8 @@
 
 use jayreel_model::{EngineModels, EngineOrder};
 
-/// After this time without an answer an order counts as ended. Longer than all timeouts of one
-/// request together with its wait for a thread.
+/// After this time without an answer an order counts as ended. Longer than all timeouts of
+/// one request together with its wait for a thread.
 const ANSWER_TIMEOUT_MS: u64 = 30_000;
 
 /// Delay before an order that had no effect is sent again. It doubles with each attempt up to
@@ -64,13 +64,13 @@
     pub(crate) report: Option<Report>,
     /// The last order that this process sent.
     sent: Option<SentOrder>,
-    /// No order follows from endpoint records up to this revision, because the engine has seen
-    /// a higher fencing number.
+    /// No order follows from endpoint records up to this revision, because the engine has
+    /// seen a higher fencing number.
     highest_superseded_revision: u64,
     /// Backoff of the orders that were sent and are still needed.
     retries: BTreeMap<EngineOrder, RetryState>,
-    /// When each needed unload became needed. Calls that were dispatched up to that time may
-    /// use what it unloads.
+    /// When each needed unload became needed. Calls that were dispatched up to that time
+    /// may use what it unloads.
     pub(crate) unload_since_ms: BTreeMap<EngineOrder, u64>,
 }
 
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Records an order that is sent at `now_ms`, and doubles the delay before its next attempt.
+    /// Records an order that is sent at `now_ms`, and doubles the delay before its next
+    /// attempt.
     pub(crate) fn record_sent(&mut self, now_ms: u64, fencing: u64, order: &EngineOrder) {
         let retry = self.retries.entry(order.clone()).or_insert(RetryState {
             delay_ms: INITIAL_RETRY_DELAY_MS / 2,
@@ -137,8 +138,8 @@
     }
 
     /// Whether the engine is loading or was just ordered to load. A report that arrived
-    /// `valid_ms` ago or earlier is ignored, so that an engine that died during a load does not
-    /// delay the loads of others.
+    /// `valid_ms` ago or earlier is ignored, so that an engine that died during a load does
+    /// not delay the loads of others.
     pub(crate) fn is_loading(&self, now_ms: u64, valid_ms: u64) -> bool {
         let sent = self.sent.as_ref();
         let is_ordered = sent.is_some_and(|sent| {
@@ -158,9 +159,9 @@
         retry.is_none_or(|retry| now_ms >= retry.next_at_ms)
     }
 
-    /// The last order that was sent with this endpoint revision, if the engine reports an order
-    /// with a lower fencing number as its last one. That order arrived late, so the newer one
-    /// must be sent again to arrive last.
+    /// The last order that was sent with this endpoint revision, if the engine reports an
+    /// order with a lower fencing number as its last one. That order arrived late, so the
+    /// newer one must be sent again to arrive last.
     pub(crate) fn overtaken_order(&self, revision: u64) -> Option<EngineOrder> {
         let sent = self.sent.as_ref()?;
         let report = self.report.as_ref()?;
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -1,5 +1,6 @@
 //! Inputs and outputs of [`FleetState`](crate::FleetState): messages between instances,
-//! events from peers, the store and the engines, and the effects that the caller carries out.
+//! events from peers, the store and the engines, and the effects that the caller carries
+//! out.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,8 +17,8 @@
 /// A message between two instances. It may be lost or arrive more than once.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerMessage {
-    /// Answer to [`PeerMessage::CacheTagQuery`]: those of its cache tags that the sender still
-    /// needs.
+    /// Answer to [`PeerMessage::CacheTagQuery`]: those of its cache tags that the sender
+    /// still needs.
     CacheTagsOwned(Vec<String>),
     /// Asks which of these cache tags the receiver still needs for its programs. The sender
     /// releases the others.
@@ -90,8 +91,8 @@
     BudgetWritten {
         /// The record of the write.
         record: BudgetRecord,
-        /// Whether the store confirmed the write. False if the write failed or its outcome is
-        /// unknown.
+        /// Whether the store confirmed the write. False if the write failed or its outcome
+        /// is unknown.
         confirmed: bool,
     },
     /// The record of the home weights was read from the store.
@@ -116,7 +117,8 @@
     ModelsReported {
         /// Name of the engine's endpoint.
         endpoint: String,
-        /// When the report was requested, in milliseconds of this instance's monotonic clock.
+        /// When the report was requested, in milliseconds of this instance's monotonic
+        /// clock.
         sent_at_ms: u64,
         /// Models and adapters of the engine, with the fencing number of its last order.
         models: EngineModels,
@@ -137,8 +139,8 @@
         /// The decoded message.
         message: PeerMessage,
     },
-    /// Instances with these names can be reached. They were discovered without the store and
-    /// may not have sent a heartbeat yet.
+    /// Instances with these names can be reached. They were discovered without the store
+    /// and may not have sent a heartbeat yet.
     PeersDiscovered(Vec<String>),
     /// The own registration was renewed in the store.
     RegistrationRenewed {
@@ -156,8 +158,8 @@
     },
     /// A planned stop has begun. Calls still arrive and run.
     StopStarted,
-    /// The last step of a planned stop: all calls have ended or were cut off, and no more will
-    /// arrive. Programs and idempotency keys can be handed over and rates returned.
+    /// The last step of a planned stop: all calls have ended or were cut off, and no more
+    /// will arrive. Programs and idempotency keys can be handed over and rates returned.
     ServingEnded,
     /// An engine listed the cache tags that it holds, in answer to
     /// [`FleetEffect::ListCacheTags`].
@@ -186,10 +188,10 @@
 }
 
 impl FleetEvent {
-    /// Whether the event can change the budget of a program or the admission of a call. After
-    /// such an event all programs and waiting calls are checked. The other events arrive once
-    /// a second from each peer, so they must not cause that check; their changes take effect
-    /// at the next tick.
+    /// Whether the event can change the budget of a program or the admission of a call.
+    /// After such an event all programs and waiting calls are checked. The other events
+    /// arrive once a second from each peer, so they must not cause that check; their
+    /// changes take effect at the next tick.
     pub(crate) fn affects_calls(&self) -> bool {
         !matches!(
             self,
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -44,8 +44,8 @@
     Takeover { of: Incarnation },
 }
 
-/// An owned copy of [`ProgramCall`]. It can wait until the successor of a program's owner is
-/// known and then be decided again.
+/// An owned copy of [`ProgramCall`]. It can wait until the successor of a program's owner
+/// is known and then be decided again.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnedProgramCall {
     pub(crate) arrived: CallArrived,
@@ -79,8 +79,8 @@
     /// Idempotency keys of calls without a program.
     pub(crate) keyed: KeyedCalls,
     pub(crate) takeovers: Takeovers,
-    /// Whether another process has taken over all programs of this one, because this one was
-    /// unreachable.
+    /// Whether another process has taken over all programs of this one, because this one
+    /// was unreachable.
     pub(crate) superseded: bool,
     pub(crate) membership: Membership,
     pub(crate) quota: Quota,
@@ -226,7 +226,7 @@
                 self.home.own_lease = own_lease;
                 self.registrations_read(now_ms, sent_at_ms, registered);
             }
-            FleetEvent::ServingEnded => self.stop_serving(now_ms),
+            FleetEvent::ServingEnded => self.start_release(now_ms),
             FleetEvent::StopStarted => self.start_stop(now_ms),
             FleetEvent::CacheTagsListed { endpoint, tags } => {
                 self.tags_listed(now_ms, &endpoint, tags);
@@ -242,8 +242,8 @@
     /// Returns the effects of the events since the last call, in order.
     pub fn take_effects(&mut self) -> Vec<FleetEffect> {
         // The check visits every program, so it runs only after events that may change a
-        // budget. After a failed write the calls wait for the next attempt: without this delay
-        // a store that refused connections received a write every millisecond.
+        // budget. After a failed write the calls wait for the next attempt: without this
+        // delay a store that refused connections received a write every millisecond.
         let is_delayed = self.last_now_ms < self.next_budget_write_ms;
         if !is_delayed && std::mem::take(&mut self.may_need_grant) {
             let record = self.programs.next_budget_record();
@@ -263,8 +263,8 @@
         self.reconcile_models(now_ms);
     }
 
-    /// Sets the time of an event that only the scheduler applies. Token checks and queries of
-    /// the live peers during that event use it.
+    /// Sets the time of an event that only the scheduler applies. Token checks and queries
+    /// of the live peers during that event use it.
     pub(crate) fn set_now(&mut self, now_ms: u64) {
         self.last_now_ms = now_ms;
     }
@@ -274,13 +274,13 @@
         self.waiting_calls = u32::try_from(count).unwrap_or(u32::MAX);
     }
 
-    /// Whether calls can use a part of their customer's rate: this instance has a home share
-    /// in force, or a live peer holds one by the record and can lend from it.
+    /// Whether calls can use a part of their customer's rate: this instance has a home
+    /// share in force, or a live peer holds one by the record and can lend from it.
     ///
-    /// A live peer without a recorded share is not enough: in a new fleet no instance may have
-    /// a share yet, and if the store becomes unreachable then, none gets one. It is enough for
-    /// a process that starts while the store does not answer, because other processes of its
-    /// fleet ran before the outage.
+    /// A live peer without a recorded share is not enough: in a new fleet no instance may
+    /// have a share yet, and if the store becomes unreachable then, none gets one. It is
+    /// enough for a process that starts while the store does not answer, because other
+    /// processes of its fleet ran before the outage.
     pub fn is_ready(&mut self, now_ms: u64) -> bool {
         let has_customers = match &self.configuration {
             None => return false,
@@ -293,8 +293,8 @@
                 && !self.membership.live_peers(now_ms).is_empty())
     }
 
-    /// Whether this process has not read the registrations since its start and the store has
-    /// not answered for [`STORE_OUTAGE_AFTER_MS`].
+    /// Whether this process has not read the registrations since its start and the store
+    /// has not answered for [`STORE_OUTAGE_AFTER_MS`].
     fn started_in_outage(&self, now_ms: u64) -> bool {
         let contact_age_ms = self.contact_age_ms(now_ms);
         !self.membership.registrations().were_read()
@@ -312,8 +312,9 @@
     }
 
     /// Age of the store contact behind the configuration, in milliseconds. It keeps growing
-    /// while the thread that reports it is blocked by a store that does not answer. Otherwise
-    /// two such instances would report a recent contact to each other without end.
+    /// while the thread that reports it is blocked by a store that does not answer.
+    /// Otherwise two such instances would report a recent contact to each other without
+    /// end.
     pub(crate) fn contact_age_ms(&self, now_ms: u64) -> Option<u64> {
         let (age_ms, reported_at_ms) = self.store_contact?;
         Some(age_ms + now_ms.saturating_sub(reported_at_ms))
--- a/crates/fleet/src/home.rs
+++ b/crates/fleet/src/home.rs
@@ -1,6 +1,6 @@
-//! The home share: the part of every customer's rate that this instance may use by the record
-//! of home weights in the store. Each instance moves towards an even share by rewriting that
-//! record.
+//! The home share: the part of every customer's rate that this instance may use by the
+//! record of home weights in the store. Each instance moves towards an even share by
+//! rewriting that record.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,8 @@
 use crate::event::FleetEffect;
 use crate::fleet::FleetState;
 
-/// What this instance knows of the home weights in the store, and of its own writes to them.
+/// What this instance knows of the home weights in the store, and of its own writes to
+/// them.
 #[derive(Debug, Default)]
 pub(crate) struct HomeShare {
     /// The newest record that was read, with its version. `None` before the first read and
@@ -71,8 +72,8 @@
         peers
     }
 
-    /// Handles the outcome of a write. The process whose write replaced version 0 has created
-    /// the record, so no process of the fleet ran before it.
+    /// Handles the outcome of a write. The process whose write replaced version 0 has
+    /// created the record, so no process of the fleet ran before it.
     pub(crate) fn home_weights_written(&mut self, version: u64, accepted: bool) {
         if accepted && version == 0 {
             self.keyed.assume_founder();
@@ -91,9 +92,9 @@
         self.update_keyed_responsibility();
     }
 
-    /// Updates which instances are responsible for idempotency keys of calls without a program.
-    /// That is the process that created the home record, while it is registered, because it
-    /// knows all keys; otherwise all registered instances.
+    /// Updates which instances are responsible for idempotency keys of calls without a
+    /// program. That is the process that created the home record, while it is registered,
+    /// because it knows all keys; otherwise all registered instances.
     fn update_keyed_responsibility(&mut self) {
         let (Some((record, 1..)), Some(sent_at_ms)) =
             (&self.home.latest_record, self.home.registered_at_ms)
@@ -121,8 +122,8 @@
     pub(crate) fn registration_renewed(&mut self, now_ms: u64, sent_at_ms: u64) {
         self.home.renewed_at_ms = self.home.renewed_at_ms.max(Some(sent_at_ms));
         if let Some(until_ms) = self.home_share_valid_until_ms() {
-            // The home share had lapsed, and its weight may have been reclaimed since. Only a
-            // record that is read from now on shows what this process still holds.
+            // The home share had lapsed, and its weight may have been reclaimed since. Only
+            // a record that is read from now on shows what this process still holds.
             if !self.quota.renew_home(now_ms, until_ms) {
                 self.home.latest_record = None;
                 self.home.last_write_on = None;
@@ -142,20 +143,22 @@
         })
     }
 
-    /// Makes the following calls of [`FleetState::update_home_share`] give up the home share.
+    /// Makes the following calls of [`FleetState::update_home_share`] give up the home
+    /// share.
     pub(crate) fn release_home_share(&mut self) {
         self.home.stopping = true;
     }
 
-    /// Whether this instance holds no home weight by the newest record that was read.
+    /// Whether this instance holds no home weight by the newest record that was read, or no
+    /// record is known.
     pub(crate) fn is_home_share_released(&self) -> bool {
         let name = &self.settings.own.instance;
         let record = self.home.latest_record.as_ref();
         record.is_none_or(|(record, _)| record.weight_ppm(name) == 0)
     }
 
-    /// Takes the next step towards an even share, or during a planned stop towards none: puts
-    /// a weight that was read in force, or writes a changed record.
+    /// Takes the next step towards an even share, or during a planned stop towards none:
+    /// puts a weight that was read in force, or writes a changed record.
     pub(crate) fn update_home_share(&mut self, now_ms: u64) {
         let Some(valid_until_ms) = self.home_share_valid_until_ms() else {
             return;
--- a/crates/fleet/src/keyed_handover.rs
+++ b/crates/fleet/src/keyed_handover.rs
@@ -1,7 +1,9 @@
-//! The part of a planned stop that hands over the idempotency keys of calls without a program.
+//! The part of a planned stop that hands over the idempotency keys of calls without a
+//! program.
 //!
 //! It begins when the stop is announced, not after the last call: a model call may run for
-//! minutes, and until the keys have arrived the successors answer `unknown` to a repeated key.
+//! minutes, and until the keys have arrived the successors answer `unknown` to a repeated
+//! key.
 
 use std::collections::VecDeque;
 
@@ -14,12 +16,12 @@
 /// Time after which a part is sent again if it was not confirmed.
 const RESEND_MS: u64 = 2_000;
 
-/// Number of attempts to send a part, after which all parts of its receiver are skipped so that
-/// it cannot delay the stop. The receiver then answers `unknown`, as after a crash.
+/// Number of attempts to send a part, after which all parts of its receiver are skipped so
+/// that it cannot delay the stop. The receiver then answers `unknown`, as after a crash.
 const MAX_ATTEMPTS: u32 = 5;
 
-/// The same limit for a receiver that does not answer heartbeats either. It allows one retry,
-/// because a busy receiver may miss the heartbeats of 2 s.
+/// The same limit for a receiver that does not answer heartbeats either. It allows one
+/// retry, because a busy receiver may miss the heartbeats of 2 s.
 const MAX_ATTEMPTS_IF_SILENT: u32 = 2;
 
 /// Largest number of keys in one message. The JSON of a key takes about 70 bytes.
@@ -65,8 +67,8 @@
 }
 
 impl FleetState {
-    /// Starts the handover once no call with an idempotency key runs, and sends the next part
-    /// if it is due.
+    /// Starts the handover once no call with an idempotency key runs, and sends the next
+    /// part if it is due.
     pub(crate) fn continue_keyed_handover(&mut self, now_ms: u64) {
         if !self.stop.started && !self.stop.serving_ended {
             return;
@@ -88,7 +90,8 @@
                     attempts: 0,
                 });
             }
-            // A call with a key was cut off and has not ended. The stop does not wait for it.
+            // A call with a key was cut off and has not ended. The stop does not wait for
+            // it.
             None if self.stop.serving_ended => self.stop.keyed = KeyedHandoverStage::Done,
             None => {}
         }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -4,8 +4,8 @@
 //!
 //! [`Reducer`] combines these decisions with the scheduler into the state machine of one
 //! instance. It does no I/O and reads no clock: messages from peers and results from the
-//! store arrive as [`FleetEvent`]s, and messages and writes leave as [`FleetEffect`]s, which
-//! the caller carries out.
+//! store arrive as [`FleetEvent`]s, and messages and writes leave as [`FleetEffect`]s,
+//! which the caller carries out.
 
 mod cache_sweep;
 mod engine_state;
--- a/crates/fleet/src/model_diff.rs
+++ b/crates/fleet/src/model_diff.rs
@@ -4,8 +4,8 @@
 
 use jayreel_model::{Endpoint, EngineModels, EngineOrder, LoadState};
 
-/// The orders that make the engine match its record. Each may be sent without the ones before
-/// it, so an order that has to wait does not delay the others.
+/// The orders that make the engine match its record. Each may be sent without the ones
+/// before it, so an order that has to wait does not delay the others.
 ///
 /// A version is unloaded only if the wanted one is loaded, and a model only after its
 /// adapters. While the record names no version of a model, all its loaded versions stay.
@@ -90,8 +90,8 @@
         .collect()
 }
 
-/// Loads of the adapters in the record that are neither loaded nor loading and whose model is
-/// loaded.
+/// Loads of the adapters in the record that are neither loaded nor loading and whose model
+/// is loaded.
 fn missing_adapters(wanted: &Endpoint, report: &EngineModels) -> Vec<EngineOrder> {
     let is_loaded = |model: &String| {
         let mut models = report.models.iter();
--- a/crates/fleet/src/model_reconciler.rs
+++ b/crates/fleet/src/model_reconciler.rs
@@ -1,9 +1,10 @@
 //! Orders engines to load and unload models until they match their endpoint records.
 //!
-//! One instance is responsible for each engine. All instances know the reports of all engines,
-//! so a newly responsible instance continues where the previous one stopped. Two instances with
-//! different membership views may both be responsible: orders can be repeated without harm, and
-//! the instance with the older endpoint record stops when it sees the higher fencing number.
+//! One instance is responsible for each engine. All instances know the reports of all
+//! engines, so a newly responsible instance continues where the previous one stopped. Two
+//! instances with different membership views may both be responsible: orders can be
+//! repeated without harm, and the instance with the older endpoint record stops when it
+//! sees the higher fencing number.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,7 +29,8 @@
     next_check_ms: u64,
     /// Engines that have reported, by endpoint name.
     pub(crate) engines: BTreeMap<String, EngineState>,
-    /// Unloads, by endpoint name, of what no call of this instance uses. Updated at each tick.
+    /// Unloads, by endpoint name, of what no call of this instance uses. Updated at each
+    /// tick.
     permitted_unloads: BTreeSet<(String, EngineOrder)>,
 }
 
@@ -61,8 +63,8 @@
         });
     }
 
-    /// Forgets engines whose address changes with the next configuration, because their reports
-    /// came from another process.
+    /// Forgets engines whose address changes with the next configuration, because their
+    /// reports came from another process.
     pub(crate) fn forget_readdressed_engines(&mut self, next: &Configuration) {
         let address = |configuration: &Configuration, name: &String| {
             let endpoint = configuration.endpoints.get(name);
@@ -122,8 +124,8 @@
         self.model_reconciler.permitted_unloads = permitted_unloads;
     }
 
-    /// Compares all engines with their records and sends the orders that are due, at most one
-    /// to each engine.
+    /// Compares all engines with their records and sends the orders that are due, at most
+    /// one to each engine.
     pub(crate) fn reconcile_models(&mut self, now_ms: u64) {
         let is_due = now_ms >= self.model_reconciler.next_check_ms && !self.stop.started;
         let Some(configuration) = self.configuration.clone().filter(|_| is_due) else {
@@ -145,7 +147,8 @@
     }
 
     /// Sends the next order to an engine that this instance is responsible for, within the
-    /// limit on loads in its zone. `zones` caches the loads of each zone during one comparison.
+    /// limit on loads in its zone. `zones` caches the loads of each zone during one
+    /// comparison.
     fn reconcile_engine(
         &mut self,
         now_ms: u64,
@@ -158,7 +161,8 @@
         let Some(state) = self.model_reconciler.engines.get_mut(name) else {
             return;
         };
-        // Without the revision of the endpoint record there is no fencing number for an order.
+        // Without the revision of the endpoint record there is no fencing number for an
+        // order.
         let Some(fencing) = revision else {
             return;
         };
@@ -191,8 +195,8 @@
         self.send_order(now_ms, name, fencing, order);
     }
 
-    /// The first needed order that may be sent now: its retry delay has passed, and a load is
-    /// within the limit or an unload affects no call of this instance.
+    /// The first needed order that may be sent now: its retry delay has passed, and a load
+    /// is within the limit or an unload affects no call of this instance.
     fn first_permitted_order(
         &self,
         now_ms: u64,
@@ -228,8 +232,8 @@
 }
 
 /// The orders that an engine needs. `None` while they are unknown: before its first report,
-/// while the effect of an order is unknown and while it loads. Empty if the endpoint takes no
-/// new work or the engine has seen an order with a higher fencing number.
+/// while the effect of an order is unknown and while it loads. Empty if the endpoint takes
+/// no new work or the engine has seen an order with a higher fencing number.
 fn needed_orders(
     now_ms: u64,
     state: &EngineState,
--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -33,8 +33,8 @@
 }
 
 impl FleetState {
-    /// Where a call is served whose program was opened by `owner`: here, at another instance,
-    /// or after a takeover. A forwarded call is not forwarded again.
+    /// Where a call is served whose program was opened by `owner`: here, at another
+    /// instance, or after a takeover. A forwarded call is not forwarded again.
     pub(crate) fn ownership_decision(
         &self,
         now_ms: u64,
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Updates membership and home share with the registrations, as read by a request sent at
-    /// `sent_at_ms`. Leaving instances get no home share.
+    /// Updates membership and home share with the registrations, as read by a request sent
+    /// at `sent_at_ms`. Leaving instances get no home share.
     pub(crate) fn registrations_read(
         &mut self,
         now_ms: u64,
--- a/crates/fleet/src/program_admission.rs
+++ b/crates/fleet/src/program_admission.rs
@@ -245,8 +245,8 @@
         ProgramToken::verify(text, &self.settings.token_key, customer, now_unix_s)
     }
 
-    /// Records the decisions about waiting calls and the ended programs that a change of the
-    /// programs caused, for the next [`FleetState::take_changes`].
+    /// Records the decisions about waiting calls and the ended programs that a change of
+    /// the programs caused, for the next [`FleetState::take_changes`].
     pub(crate) fn apply_program_effects(&mut self, effects: ProgramEffects) {
         self.may_need_grant = true;
         for resolved in effects.resolved {
@@ -258,7 +258,8 @@
         }
     }
 
-    /// The scheduler's form of an admission by a program. Forgets the call if it is refused.
+    /// The scheduler's form of an admission by a program. Forgets the call if it is
+    /// refused.
     fn decision(
         &mut self,
         request_id: RequestId,
@@ -325,8 +326,8 @@
     NotLocal(ProgramDecision),
 }
 
-/// Token of the program that a call belongs to. `None` for a call that opens a program, even
-/// if it names a parent.
+/// Token of the program that a call belongs to. `None` for a call that opens a program,
+/// even if it names a parent.
 fn program_token(arrived: &CallArrived) -> Option<&str> {
     match &arrived.operation {
         CallOperation::CloseProgram { token } => Some(token),
--- a/crates/fleet/src/quota_admission.rs
+++ b/crates/fleet/src/quota_admission.rs
@@ -1,5 +1,5 @@
-//! Quota admission: takes tokens from the customers' buckets and borrows rate from peers when
-//! a bucket is empty.
+//! Quota admission: takes tokens from the customers' buckets and borrows rate from peers
+//! when a bucket is empty.
 
 use jayreel_model::{Configuration, Incarnation};
 use jayreel_quota::{LoanReturn, Take};
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Asks a live peer for a loan of the customer's rate. The peers are asked in round-robin
-    /// order.
+    /// Asks a live peer for a loan of the customer's rate. The peers are asked in
+    /// round-robin order.
     fn request_loan(&mut self, now_ms: u64, customer: &str) {
         let Some(key) = self.quota.quota_key(customer) else {
             return;
--- a/crates/fleet/src/reducer.rs
+++ b/crates/fleet/src/reducer.rs
@@ -47,8 +47,8 @@
 }
 
 impl Reducer {
-    /// The reducer of a process that has just started. `unix_ms_at_zero` is the Unix time in
-    /// milliseconds at which the monotonic clock was 0.
+    /// The reducer of a process that has just started. `unix_ms_at_zero` is the Unix time
+    /// in milliseconds at which the monotonic clock was 0.
     pub fn new(
         scheduler: SchedulerSettings,
         fleet: FleetSettings,
@@ -66,12 +66,12 @@
         }
     }
 
-    /// Applies one input at `now_ms`, in milliseconds of the monotonic clock, and returns the
-    /// actions to carry out, in order.
+    /// Applies one input at `now_ms`, in milliseconds of the monotonic clock, and returns
+    /// the actions to carry out, in order.
     pub fn apply(&mut self, now_ms: u64, input: Input) -> Vec<Output> {
         let mut effects = Vec::new();
-        // The count of live peers visits all peers, so it is updated only at ticks, which come
-        // every 50 ms.
+        // The count of live peers visits all peers, so it is updated only at ticks, which
+        // come every 50 ms.
         let updates_position = matches!(input, Input::Schedule(Event::Tick));
         match input {
             Input::Schedule(event) => {
@@ -101,8 +101,8 @@
         self.fleet.lock().status(now_ms)
     }
 
-    /// Whether the instance can serve calls: it has a configuration, and its own or a borrowed
-    /// share of the customers' rates.
+    /// Whether the instance can serve calls: it has a configuration, and its own or a
+    /// borrowed share of the customers' rates.
     pub fn is_ready(&self, now_ms: u64) -> bool {
         self.fleet.lock().is_ready(now_ms)
     }
@@ -112,8 +112,8 @@
         self.scheduler.call_count()
     }
 
-    /// Whether a planned stop has handed over all programs and keys and returned all loans and
-    /// the home share.
+    /// Whether a planned stop has handed over all programs and keys and returned all loans
+    /// and the home share.
     pub fn is_stopped(&self, now_ms: u64) -> bool {
         self.fleet.lock().is_stopped(now_ms)
     }
@@ -173,8 +173,8 @@
     }
 }
 
-/// Shares [`FleetState`] between the reducer and the scheduler, which calls it for program and
-/// quota admission. The reducer runs on one thread, so the lock is never contended.
+/// Shares [`FleetState`] between the reducer and the scheduler, which calls it for program
+/// and quota admission. The reducer runs on one thread, so the lock is never contended.
 #[derive(Clone, Debug)]
 struct SharedFleet(Arc<Mutex<FleetState>>);
 
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -15,8 +15,8 @@
     pub availability_zone: String,
     /// Revision of the configuration in force, 0 if there is none yet.
     pub config_revision: u64,
-    /// Time since the store last confirmed the configuration in force, directly or through a
-    /// peer. `None` if it never did.
+    /// Time since the store last confirmed the configuration in force, directly or through
+    /// a peer. `None` if it never did.
     pub store_contact_age_ms: Option<u64>,
     /// Home weight of this instance by the store's record, in parts per million.
     pub home_weight_ppm: u32,
--- a/crates/fleet/src/stop.rs
+++ b/crates/fleet/src/stop.rs
@@ -62,7 +62,7 @@
     }
 
     /// Begins the release of rates and programs, after all calls have ended.
-    pub(crate) fn stop_serving(&mut self, now_ms: u64) {
+    pub(crate) fn start_release(&mut self, now_ms: u64) {
         self.stop.serving_ended = true;
         self.keyed.retire(now_ms);
         self.release_home_share();
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Starts to send the programs to the successor that the takeover record of this process
-    /// names.
+    /// Starts to send the programs to the successor that the takeover record of this
+    /// process names.
     pub(crate) fn start_sending_handover(&mut self, record: &TakeoverRecord) {
         let stage = std::mem::take(&mut self.stop.handover);
         self.stop.handover = match stage {
--- a/crates/fleet/src/takeover.rs
+++ b/crates/fleet/src/takeover.rs
@@ -1,5 +1,5 @@
-//! Takeovers: how this instance becomes the owner of programs whose owner is gone, and what it
-//! does when another one takes over its own.
+//! Takeovers: how this instance becomes the owner of programs whose owner is gone, and what
+//! it does when another one takes over its own.
 
 use jayreel_model::{Incarnation, RequestId};
 use jayreel_programs::{BudgetRecord, Handover, TakeoverRecord, ownership};
@@ -26,9 +26,9 @@
         }
     }
 
-    /// Handles a takeover record from the store. If it makes this process responsible for the
-    /// programs of `of`, the budget record of `of` is read before any call of these programs is
-    /// decided.
+    /// Handles a takeover record from the store. If it makes this process responsible for
+    /// the programs of `of`, the budget record of `of` is read before any call of these
+    /// programs is decided.
     pub(crate) fn takeover_read(
         &mut self,
         now_ms: u64,
@@ -62,9 +62,9 @@
         }
     }
 
-    /// Announces to all peers who serves the programs of `of` from now on. A process `of` that
-    /// is still alive learns from it that it was replaced. A peer that misses the message reads
-    /// the record when it gets a call for a program of `of`.
+    /// Announces to all peers who serves the programs of `of` from now on. A process `of`
+    /// that is still alive learns from it that it was replaced. A peer that misses the
+    /// message reads the record when it gets a call for a program of `of`.
     pub(crate) fn announce_takeover(
         &mut self,
         of: &Incarnation,
@@ -83,8 +83,8 @@
         self.apply_program_effects(effects);
     }
 
-    /// Handles the takeover record of this process: a planned one continues the handover, any
-    /// other one supersedes this process.
+    /// Handles the takeover record of this process: a planned one continues the handover,
+    /// any other one supersedes this process.
     fn own_takeover_read(&mut self, record: &TakeoverRecord) {
         match record.is_planned {
             true => self.start_sending_handover(record),
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Adopts the programs of `of` with their charges from its budget record, and decides the
-    /// calls that waited for it. The record was read after the takeover record had been
+    /// Adopts the programs of `of` with their charges from its budget record, and decides
+    /// the calls that waited for it. The record was read after the takeover record had been
     /// created, so `of` cannot write it any more.
     pub(crate) fn budget_read(
         &mut self,
@@ -105,8 +105,8 @@
         self.decide_awaiting_takeover(now_ms, &of);
     }
 
-    /// Imports one part of the programs of a stopping process that has named this one as its
-    /// successor.
+    /// Imports one part of the programs of a stopping process that has named this one as
+    /// its successor.
     pub(crate) fn take_handover(&mut self, now_ms: u64, handover: Handover) {
         let record = TakeoverRecord {
             successor: self.settings.own.clone(),
@@ -117,7 +117,8 @@
         self.programs.import(now_ms, handover);
     }
 
-    /// Refuses the calls that wait for the successor of `of`, because the store gave no answer.
+    /// Refuses the calls that wait for the successor of `of`, because the store gave no
+    /// answer.
     pub(crate) fn takeover_unconfirmed(&mut self, of: &Incarnation) {
         for call in self.awaiting_takeover.remove(of).unwrap_or_default() {
             let request_id = call.arrived.request_id;
--- a/crates/fleet/src/zone_loads.rs
+++ b/crates/fleet/src/zone_loads.rs
@@ -1,5 +1,5 @@
-//! The limit on concurrent model loads in an availability zone, and the part of it that this
-//! instance may use.
+//! The limit on concurrent model loads in an availability zone, and the part of it that
+//! this instance may use.
 
 use jayreel_membership::responsible_for;
 use jayreel_model::Configuration;
@@ -27,8 +27,8 @@
     }
 
     /// The loads of a zone. The limit is divided among the candidates. If the zone has more
-    /// live instances than the limit, only as many as the limit are candidates, so that each
-    /// may load at least one model and their sum stays within the limit.
+    /// live instances than the limit, only as many as the limit are candidates, so that
+    /// each may load at least one model and their sum stays within the limit.
     pub(crate) fn zone_loads(
         &self,
         now_ms: u64,
@@ -68,7 +68,8 @@
     }
 }
 
-/// The `limit` live instances with the highest rendezvous hashes for the zone, sorted by name.
+/// The `limit` live instances with the highest rendezvous hashes for the zone, sorted by
+/// name.
 fn select_candidates(mut live: Vec<String>, zone: &str, limit: usize) -> Vec<String> {
     if live.len() <= limit {
         return live;
--- a/crates/fleet/tests/cold_start.rs
+++ b/crates/fleet/tests/cold_start.rs
@@ -1,5 +1,5 @@
-//! The first minutes of an instance: what it must not do before it has read the registrations,
-//! how it gets into contact with discovered peers, and when it is ready.
+//! The first minutes of an instance: what it must not do before it has read the
+//! registrations, how it gets into contact with discovered peers, and when it is ready.
 
 mod support;
 
@@ -111,8 +111,8 @@
     matches!(output, Output::Fleet(FleetEffect::ListCacheTags { .. }))
 }
 
-// Guards against an instance that releases cache in use: before it has read the registrations
-// it cannot tell which owners of cache tags are gone.
+// Guards against an instance that releases cache in use: before it has read the
+// registrations it cannot tell which owners of cache tags are gone.
 #[test]
 fn cache_sweep_waits_for_the_registrations() {
     let mut reducer = reducer();
@@ -135,8 +135,8 @@
     assert!(outputs.iter().any(lists_tags), "{outputs:?}");
 }
 
-// Guards against two instances that both run a call with the same idempotency key, because one
-// of them does not know which instance is responsible for the key.
+// Guards against two instances that both run a call with the same idempotency key, because
+// one of them does not know which instance is responsible for the key.
 #[test]
 fn keyed_call_is_refused_as_not_run() {
     let mut reducer = reducer();
@@ -149,7 +149,8 @@
     }
 }
 
-// Guards against a takeover of programs whose owner is not gone but unknown to this instance.
+// Guards against a takeover of programs whose owner is not gone but unknown to this
+// instance.
 #[test]
 fn programs_of_an_unknown_owner_are_not_taken_over() {
     let budget_tokens = None;
@@ -194,8 +195,8 @@
         .collect()
 }
 
-// Guards against a discovered peer that never learns of this instance, and against more than
-// one heartbeat a second to a known peer.
+// Guards against a discovered peer that never learns of this instance, and against more
+// than one heartbeat a second to a known peer.
 #[test]
 fn discovered_peers_get_heartbeats_until_they_answer() {
     let mut reducer = reducer();
@@ -235,9 +236,9 @@
     reducer.is_ready(3)
 }
 
-// Guards against an instance that starts during an outage of the store and is not ready until
-// its end, and against a new fleet that is ready before any instance has a share of the rates,
-// which none could get during an outage.
+// Guards against an instance that starts during an outage of the store and is not ready
+// until its end, and against a new fleet that is ready before any instance has a share of
+// the rates, which none could get during an outage.
 #[test]
 fn instance_with_a_live_peer_is_ready_only_while_the_store_does_not_answer() {
     assert!(is_ready(60_000));
--- a/crates/fleet/tests/home.rs
+++ b/crates/fleet/tests/home.rs
@@ -1,5 +1,5 @@
-//! When home weight that was read from the store comes into force: at once if no earlier holder
-//! can have lent it, otherwise only after possible loans have ended.
+//! When home weight that was read from the store comes into force: at once if no earlier
+//! holder can have lent it, otherwise only after possible loans have ended.
 
 use jayreel_fleet::{
     FleetEffect, FleetEvent, FleetSettings, FleetState, RegisteredInstance,
@@ -9,8 +9,8 @@
 use jayreel_quota::home_weights::HomeRecord;
 use jayreel_scheduler::quota_admission::QuotaAdmission;
 
-/// Time after which weight that an earlier holder may have lent comes into force: loan term,
-/// dispatch deadline and clock margin.
+/// Time after which weight that an earlier holder may have lent comes into force: loan
+/// term, dispatch deadline and clock margin.
 const LOAN_END_MS: u64 = 6_500;
 
 fn incarnation(index: u64) -> Incarnation {
@@ -82,8 +82,9 @@
 }
 
 // Guards against the process that created the record and reads it before the answer to its
-// write. Its own weight came into force too late, and later it used the weight of an instance
-// that an operator had removed at once, although that instance could have lent it (G8).
+// write. Its own weight came into force too late, and later it used the weight of an
+// instance that an operator had removed at once, although that instance could have lent it
+// (G8).
 #[test]
 fn late_answer_to_the_first_write_does_not_put_weight_in_force() {
     let mut founder = fleet(0, &[0, 1]);
@@ -110,8 +111,8 @@
     assert_eq!(in_force_ppm(&mut founder, 10_010 + LOAN_END_MS), 1_000_000);
 }
 
-// Guards against a new instance that waits a loan term for weight that a running instance has
-// released and cannot have lent.
+// Guards against a new instance that waits a loan term for weight that a running instance
+// has released and cannot have lent.
 #[test]
 fn released_weight_counts_when_it_is_read() {
     let mut founder = fleet(0, &[0]);
--- a/crates/fleet/tests/orders.rs
+++ b/crates/fleet/tests/orders.rs
@@ -76,8 +76,8 @@
     }));
 }
 
-/// Lets the engine report and carry out the orders of the instance for 20 rounds, which is more
-/// than any change needs. Returns all orders.
+/// Lets the engine report and carry out the orders of the instance for 20 rounds, which is
+/// more than any change needs. Returns all orders.
 fn settle(
     instance: &mut TestInstance,
     engine: &mut TestEngine,
@@ -95,8 +95,8 @@
     all
 }
 
-/// Guards against models that are never loaded, against a second order for the same load, and
-/// against orders without the revision of their record.
+/// Guards against models that are never loaded, against a second order for the same load,
+/// and against orders without the revision of their record.
 #[test]
 fn missing_version_is_loaded_with_one_order() {
     let mut instance = instance_with_version("entry-0", true, "2", 12);
@@ -120,8 +120,8 @@
     assert_eq!(engine.versions(), ["2"]);
 }
 
-/// Guards against a second order to an engine while the first one has no answer, no report shows
-/// its effect, or the engine is still loading.
+/// Guards against a second order to an engine while the first one has no answer, no report
+/// shows its effect, or the engine is still loading.
 #[test]
 fn orders_go_out_one_at_a_time() {
     let mut instance = instance_with_version("entry-0", true, "2", 12);
@@ -206,8 +206,8 @@
     assert_eq!(engine.report.fencing, 12);
 }
 
-/// Guards against a newly responsible instance that orders a load which is already in progress,
-/// and against one that does not repeat an order which never reached the engine.
+/// Guards against a newly responsible instance that orders a load which is already in
+/// progress, and against one that does not repeat an order which never reached the engine.
 #[test_case(true; "the load goes on")]
 #[test_case(false; "the load was lost")]
 fn responsible_instance_is_replaced_during_a_load(goes_on: bool) {
@@ -230,8 +230,8 @@
     }
 }
 
-/// Guards against a load order that is sent again only because its answer was lost, and against
-/// one that is not sent again although the engine never received it.
+/// Guards against a load order that is sent again only because its answer was lost, and
+/// against one that is not sent again although the engine never received it.
 #[test_case(true; "it took effect")]
 #[test_case(false; "it did not arrive")]
 fn answer_is_lost(took_effect: bool) {
@@ -258,8 +258,8 @@
     }
 }
 
-/// Guards against an instance with an old endpoint record that keeps reverting the orders of an
-/// instance with a newer one.
+/// Guards against an instance with an old endpoint record that keeps reverting the orders
+/// of an instance with a newer one.
 #[test_case(true; "refused by the engine")]
 #[test_case(false; "seen in the report")]
 fn instance_with_the_older_record_stops_sending_orders(checks_fencing: bool) {
@@ -283,8 +283,8 @@
     assert_eq!(orders(&mut instance, LONG_MS), [(13, load("3"))]);
 }
 
-/// Guards against a version that is unloaded before the new one is loaded or while a call still
-/// uses it, and against one that is never unloaded because new calls keep arriving.
+/// Guards against a version that is unloaded before the new one is loaded or while a call
+/// still uses it, and against one that is never unloaded because new calls keep arriving.
 #[test]
 fn version_is_changed_under_traffic() {
     let mut instance = instance_with_version("entry-0", true, "2", 12);
@@ -319,8 +319,8 @@
     assert_eq!(orders(&mut instance, STEP_MS), [(12, unload("1"))]);
 }
 
-/// Guards against orders to engines that have not reported, and against orders that follow from
-/// records without a known revision.
+/// Guards against orders to engines that have not reported, and against orders that follow
+/// from records without a known revision.
 #[test]
 fn nothing_is_ordered_without_a_report_or_a_revision() {
     let mut instance = instance_with_version("entry-0", true, "2", 12);
@@ -381,8 +381,8 @@
     assert_eq!(kinds, ["unload_adapter", "unload_model"]);
 }
 
-/// Guards against an overload of the store that holds the model weights because each instance
-/// uses the whole limit on loads, and against engines that no instance may load.
+/// Guards against an overload of the store that holds the model weights because each
+/// instance uses the whole limit on loads, and against engines that no instance may load.
 #[test_case(1, 4; "one instance")]
 #[test_case(3, 4; "unequal parts of the limit")]
 #[test_case(7, 4; "more instances than concurrent loads")]
--- a/crates/fleet/tests/pair/instance.rs
+++ b/crates/fleet/tests/pair/instance.rs
@@ -30,8 +30,8 @@
     pub outgoing: Vec<FleetEffect>,
     /// Writes that were not sent to the store yet.
     writes: VecDeque<FleetEffect>,
-    /// The answer to the last write, with its time in the simulation. The record is read again
-    /// at that time.
+    /// The answer to the last write, with its time in the simulation. The record is read
+    /// again at that time.
     write_answer: Option<(u64, FleetEvent)>,
     /// Times in the simulation at which calls were served.
     pub served_ms: Vec<u64>,
@@ -145,7 +145,8 @@
         }
     }
 
-    /// Renews the registration and reads registrations and home weights, at fixed intervals.
+    /// Renews the registration and reads registrations and home weights, at fixed
+    /// intervals.
     fn contact_store(
         &mut self,
         now_ms: u64,
--- a/crates/fleet/tests/pair/mod.rs
+++ b/crates/fleet/tests/pair/mod.rs
@@ -28,8 +28,8 @@
     /// Number of the request, from 0, at which the store becomes unreachable for both
     /// instances. `None` for a run without an outage.
     pub outage_at_request: Option<usize>,
-    /// Whether the request at which the outage begins takes effect in the store although its
-    /// answer is lost.
+    /// Whether the request at which the outage begins takes effect in the store although
+    /// its answer is lost.
     pub last_request_takes_effect: bool,
 }
 
@@ -71,8 +71,8 @@
     }
 }
 
-/// Runs the simulation until `until_ms`, or for `outage_duration_ms` after the beginning of an
-/// outage.
+/// Runs the simulation until `until_ms`, or for `outage_duration_ms` after the beginning of
+/// an outage.
 pub fn run(scenario: Scenario, until_ms: u64, outage_duration_ms: u64) -> Observations {
     let mut store = SimulatedStore::new(
         scenario.outage_at_request,
--- a/crates/fleet/tests/pair/store.rs
+++ b/crates/fleet/tests/pair/store.rs
@@ -66,8 +66,8 @@
         answered.then(|| (self.record.clone(), self.version))
     }
 
-    /// Replaces the home weights if the record still has this version. Returns whether it did,
-    /// or `None` without an answer.
+    /// Replaces the home weights if the record still has this version. Returns whether it
+    /// did, or `None` without an answer.
     pub fn write_home(&mut self, record: HomeRecord, version: u64) -> Option<bool> {
         let (takes_effect, answered) = self.request(true);
         let accepted = takes_effect && version == self.version;
--- a/crates/fleet/tests/shares.rs
+++ b/crates/fleet/tests/shares.rs
@@ -79,8 +79,8 @@
     checked
 }
 
-/// Checks that both instances serve calls in the first window of the outage and in the second
-/// one.
+/// Checks that both instances serve calls in the first window of the outage and in the
+/// second one.
 fn check_service(scenario: Scenario, observed: &Observations) {
     for instance in 0..2 {
         let first = observed.served_in_outage(instance, 0, WINDOW_MS);
@@ -96,8 +96,8 @@
     }
 }
 
-// Guards against an instance that gets no loan from a peer with home weight, if an outage of
-// the store begins while the weight moves.
+// Guards against an instance that gets no loan from a peer with home weight, if an outage
+// of the store begins while the weight moves.
 #[test_case(TOGETHER; "together")]
 #[test_case(REGISTERED_LATE; "registered late")]
 #[test_case(ONE_AFTER_THE_OTHER; "one after the other")]
@@ -114,8 +114,8 @@
     assert!(checked > 10, "only {checked} outages were checked");
 }
 
-// Guards against instances that are ready before any of them has a share of the rates. If the
-// store became unreachable then, all instances had no rate for the whole outage.
+// Guards against instances that are ready before any of them has a share of the rates. If
+// the store became unreachable then, all instances had no rate for the whole outage.
 #[test_case(TOGETHER; "together")]
 #[test_case(REGISTERED_LATE; "registered late")]
 #[test_case(ONE_AFTER_THE_OTHER; "one after the other")]
@@ -126,10 +126,10 @@
     assert!(checked > 10, "only {checked} outages were checked");
 }
 
-// Guards against a home share that comes into force only after a loan term although no earlier
-// holder can have lent it: the share of the process that created the record, also if it reads
-// the record before the answer to its write, and the share that a running instance released
-// for a new one.
+// Guards against a home share that comes into force only after a loan term although no
+// earlier holder can have lent it: the share of the process that created the record, also
+// if it reads the record before the answer to its write, and the share that a running
+// instance released for a new one.
 #[test_case(TOGETHER; "together")]
 #[test_case(REGISTERED_LATE; "registered late")]
 #[test_case(ONE_AFTER_THE_OTHER; "one after the other")]
--- a/crates/fleet/tests/support/engine.rs
+++ b/crates/fleet/tests/support/engine.rs
@@ -8,11 +8,13 @@
 /// set.
 #[derive(Clone, Debug, Default)]
 pub struct TestEngine {
-    /// Whether it refuses orders with a lower fencing number than the highest that it has seen.
+    /// Whether it refuses orders with a lower fencing number than the highest that it has
+    /// seen.
     pub checks_fencing: bool,
     /// Highest fencing number of an order so far.
     highest_fencing: u64,
-    /// What it reports to have loaded. The fencing number is that of the last accepted order.
+    /// What it reports to have loaded. The fencing number is that of the last accepted
+    /// order.
     pub report: EngineModels,
 }
 
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -117,7 +117,8 @@
 }
 
 impl TestInstance {
-    /// The instance with this name, in `zone-0`. It has a configuration and no registrations.
+    /// The instance with this name, in `zone-0`. It has a configuration and no
+    /// registrations.
     pub fn new(name: &str) -> TestInstance {
         let own = incarnation(name);
         let scheduler = SchedulerSettings::new(own.clone(), "zone-0", 7);
@@ -170,7 +171,8 @@
         self.apply(Input::Fleet(event));
     }
 
-    /// The instance creates the record of home weights and gets the whole rate of all customers.
+    /// The instance creates the record of home weights and gets the whole rate of all
+    /// customers.
     pub fn take_share(&mut self) {
         let sent_at_ms = self.now_ms;
         self.apply(Input::Fleet(FleetEvent::RegistrationRenewed { sent_at_ms }));
