--- a/crates/core/src/instance/mod.rs
+++ b/crates/core/src/instance/mod.rs
@@ -161,7 +161,7 @@
 
     /// Hands over programs and gives back loans and weight.
     fn release(&self) {
-        self.send(Input::Fleet(FleetEvent::StopServing));
+        self.send(Input::Fleet(FleetEvent::ServingEnded));
         let deadline = Instant::now() + RELEASE_LIMIT;
         while !self.status().is_some_and(|status| status.is_stopped) {
             if Instant::now() >= deadline {
--- a/crates/core/src/store_link/reader.rs
+++ b/crates/core/src/store_link/reader.rs
@@ -63,7 +63,7 @@
     fn tell_local_state(&mut self) {
         let now_ms = self.context.clock.now_ms();
         let age_ms = self.feed.store_contact_age_ms();
-        self.context.send(FleetEvent::ContactAge(age_ms));
+        self.context.send(FleetEvent::StoreContactAge(age_ms));
         if let Some(age_ms) = age_ms {
             let event = Event::StoreContact { age_ms };
             let _ = self
@@ -148,7 +148,7 @@
         Ok(found) => {
             let version = found.as_ref().map_or(0, |found| found.version);
             let record = found.map(|found| found.value).unwrap_or_default();
-            context.send(FleetEvent::HomeRead {
+            context.send(FleetEvent::HomeWeightsRead {
                 sent_at_ms,
                 record,
                 version,
