--- a/crates/bench/src/reducer_state.rs
+++ b/crates/bench/src/reducer_state.rs
@@ -6,7 +6,7 @@
 use eyre::{bail, eyre};
 use jayreel_fleet::{
     FleetEffect, FleetEvent, FleetSettings, Input, Output, PeerMessage, Reducer,
-    Registered,
+    RegisteredInstance,
 };
 use jayreel_membership::{Heartbeat, InstanceState};
 use jayreel_model::{
@@ -604,8 +604,8 @@
     Event::CallFinished { request_id, usage }
 }
 
-fn registered(instance: &str, index: u64) -> Registered {
-    Registered {
+fn registered(instance: &str, index: u64) -> RegisteredInstance {
+    RegisteredInstance {
         incarnation: incarnation(instance),
         availability_zone: zone(index),
         peer_address: "127.0.0.1:1".to_string(),
--- a/crates/core/src/instance/base.rs
+++ b/crates/core/src/instance/base.rs
@@ -7,7 +7,7 @@
 use crossbeam::channel::{Receiver, Sender, bounded, unbounded};
 use eyre::WrapErr;
 use jayreel_endpoint::{ClientSettings, EngineControl, HttpEndpointClient};
-use jayreel_fleet::{Input, Registered};
+use jayreel_fleet::{Input, RegisteredInstance};
 use jayreel_model::Incarnation;
 use jayreel_peer::{Inbound, PeerNetwork, TcpPeerNetwork};
 use jayreel_scheduler::Event;
@@ -33,7 +33,7 @@
 pub(super) struct Base {
     pub(super) settings: Settings,
     pub(super) own: Incarnation,
-    pub(super) registered: Registered,
+    pub(super) registered: RegisteredInstance,
     pub(super) calls: Arc<CallTable>,
     pub(super) events: Sender<ShellEvent>,
     pub(super) ready: Arc<AtomicBool>,
@@ -56,7 +56,7 @@
         let (network, inbound) = from_settings::start_peers(&settings, &own)?;
         let network = Arc::new(network);
         let peer_address = settings.peers.advertise.unwrap_or(network.local_address());
-        let registered = Registered {
+        let registered = RegisteredInstance {
             incarnation: own.clone(),
             availability_zone: settings.instance.availability_zone.clone(),
             peer_address: peer_address.to_string(),
--- a/crates/core/src/instance/from_settings.rs
+++ b/crates/core/src/instance/from_settings.rs
@@ -5,7 +5,7 @@
 
 use crossbeam::channel::Receiver;
 use eyre::WrapErr;
-use jayreel_fleet::{FleetSettings, Reducer, Registered};
+use jayreel_fleet::{FleetSettings, Reducer, RegisteredInstance};
 use jayreel_model::{Incarnation, KeyHash};
 use jayreel_peer::{FleetSecret, Inbound, PeerConfig, PeerDeadlines, TcpPeerNetwork};
 use jayreel_programs::TokenKey;
@@ -60,7 +60,7 @@
 pub(super) fn reducer(
     settings: &Settings,
     own: &Incarnation,
-    registered: &Registered,
+    registered: &RegisteredInstance,
     clock: Clock,
 ) -> Reducer {
     let zone = settings.instance.availability_zone.clone();
--- a/crates/core/src/store_link/reader.rs
+++ b/crates/core/src/store_link/reader.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crossbeam::channel::Receiver;
-use jayreel_fleet::{FleetEvent, Input, Registered};
+use jayreel_fleet::{FleetEvent, Input, RegisteredInstance};
 use jayreel_model::Incarnation;
 use jayreel_quota::home_weights::HomeRecord;
 use jayreel_scheduler::Event;
@@ -100,13 +100,13 @@
 
     fn read_registrations(&self) {
         let sent_at_ms = self.context.clock.now_ms();
-        match registrations::<Registered>(self.context.store.as_ref()) {
+        match registrations::<RegisteredInstance>(self.context.store.as_ref()) {
             Ok(entries) => {
                 let own_entry = entries
                     .iter()
                     .find(|entry| entry.record.value.incarnation == self.own);
                 let own_lease = own_entry.and_then(|entry| entry.lease);
-                let registered: Vec<Registered> = entries
+                let registered: Vec<RegisteredInstance> = entries
                     .into_iter()
                     .map(|entry| entry.record.value)
                     .collect();
@@ -122,7 +122,7 @@
         }
     }
 
-    fn set_peers(&self, registered: &[Registered]) {
+    fn set_peers(&self, registered: &[RegisteredInstance]) {
         let others = registered
             .iter()
             .filter(|entry| entry.incarnation.instance != self.own.instance);
