--- a/crates/gateway/src/retry.rs
+++ b/crates/gateway/src/retry.rs
@@ -44,7 +44,7 @@
     /// Fail the request and tell the caller that it may have run.
     FailUnknown,
     /// Forward the endpoint's error response to the caller.
-    ForwardFailure,
+    PassOn,
 }
 
 /// Limits on the sends of one request.
@@ -100,7 +100,7 @@
         let may_repeat = !self.may_have_run || policy.kind.may_run_again();
         match outcome {
             _ if has_attempts && may_repeat => Step::SendAgain,
-            Outcome::Failed => Step::ForwardFailure,
+            Outcome::Failed => Step::PassOn,
             _ if self.may_have_run => Step::FailUnknown,
             _ => Step::RefuseNotRun,
         }
--- a/crates/gateway/tests/retry.rs
+++ b/crates/gateway/tests/retry.rs
@@ -15,7 +15,7 @@
 
 #[test_case(CallKind::Once, Outcome::Unknown => Step::FailUnknown)]
 #[test_case(NON_RESUMABLE_STREAM, Outcome::Unknown => Step::FailUnknown)]
-#[test_case(CallKind::Once, Outcome::Failed => Step::ForwardFailure)]
+#[test_case(CallKind::Once, Outcome::Failed => Step::PassOn)]
 #[test_case(CallKind::Idempotent, Outcome::Unknown => Step::SendAgain)]
 #[test_case(RESUMABLE_STREAM, Outcome::Unknown => Step::SendAgain)]
 #[test_case(CallKind::Once, Outcome::Rejected => Step::SendAgain)]
