--- a/crates/core/src/instance/base.rs
+++ b/crates/core/src/instance/base.rs
@@ -9,7 +9,7 @@
 use jayreel_endpoint::{ClientSettings, EngineControl, HttpEndpointClient};
 use jayreel_fleet::{Input, Registered};
 use jayreel_model::Incarnation;
-use jayreel_peer::{Inbound, PeerNetwork, TcpPeerNetwork};
+use jayreel_peer::{PeerEvent, PeerNetwork, TcpPeerNetwork};
 use jayreel_scheduler::Event;
 use jayreel_server::CallerServer;
 use jayreel_server::admin::AdminServer;
@@ -42,7 +42,7 @@
     store: Arc<dyn Store>,
     peers: PeerSender,
     inbox: Receiver<ShellEvent>,
-    inbound: Receiver<Inbound>,
+    inbound: Receiver<PeerEvent>,
 }
 
 impl Base {
--- a/crates/core/src/instance/from_settings.rs
+++ b/crates/core/src/instance/from_settings.rs
@@ -7,7 +7,7 @@
 use eyre::WrapErr;
 use jayreel_fleet::{FleetSettings, Reducer, Registered};
 use jayreel_model::{Incarnation, KeyHash};
-use jayreel_peer::{FleetSecret, Inbound, PeerConfig, PeerDeadlines, TcpPeerNetwork};
+use jayreel_peer::{FleetSecret, PeerConfig, PeerDeadlines, PeerEvent, TcpPeerNetwork};
 use jayreel_programs::TokenKey;
 use jayreel_scheduler::settings::{FairnessKind, OrderKind, PlacementKind};
 use jayreel_scheduler::{PolicySettings, SchedulerSettings};
@@ -39,7 +39,7 @@
 pub(super) fn start_peers(
     settings: &Settings,
     own: &Incarnation,
-) -> eyre::Result<(TcpPeerNetwork, Receiver<Inbound>)> {
+) -> eyre::Result<(TcpPeerNetwork, Receiver<PeerEvent>)> {
     let listen = settings.peers.listen;
     let listener = TcpListener::bind(listen)
         .wrap_err_with(|| format!("cannot listen on {listen}"))?;
--- a/crates/core/src/peer_link/receiver.rs
+++ b/crates/core/src/peer_link/receiver.rs
@@ -6,7 +6,7 @@
 use crossbeam::channel::{Receiver, Sender};
 use eyre::WrapErr;
 use jayreel_fleet::{FleetEvent, Input};
-use jayreel_peer::{Inbound, MessageBody, PeerFailureKind};
+use jayreel_peer::{MessageBody, PeerEvent, PeerFailureKind};
 use jayreel_scheduler::Event;
 use jayreel_store::ConfigurationFeed;
 
@@ -25,7 +25,7 @@
 /// If the thread cannot be started.
 pub(crate) fn receive(
     clock: Clock,
-    inbound: Receiver<Inbound>,
+    inbound: Receiver<PeerEvent>,
     sender: PeerSender,
     feed: Arc<ConfigurationFeed>,
     calls: Arc<CallTable>,
@@ -68,13 +68,13 @@
 }
 
 impl PeerReceiver {
-    fn take(&self, arrived: Inbound) {
+    fn take(&self, arrived: PeerEvent) {
         match arrived {
-            Inbound::Forwarded {
+            PeerEvent::Forwarded {
                 id,
                 from,
                 call,
-                answer,
+                response: answer,
             } => {
                 let now_ms = self.clock.now_ms();
                 match take_forwarded(id, &call, answer, &self.calls, now_ms) {
@@ -84,26 +84,26 @@
                     }
                 }
             }
-            Inbound::ForwardCancelled { id } => {
+            PeerEvent::ForwardCancelled { id } => {
                 self.schedule(Event::CallerGone {
                     request_id: forwarded_id(id),
                 });
             }
-            Inbound::Discovered {
+            PeerEvent::Discovered {
                 address,
                 incarnation,
             } => {
                 log::info!("event=seed_answered address={address} peer={incarnation}");
                 self.discovery.found(vec![(incarnation.instance, address)]);
             }
-            Inbound::Message { from, message } => self.message(from, message.body),
-            Inbound::SendFailed { failure, .. }
+            PeerEvent::Message { from, message } => self.message(from, message.body),
+            PeerEvent::SendFailed { failure, .. }
                 if failure.kind == PeerFailureKind::UnknownPeer =>
             {
                 // A request that already waits is enough.
                 let _ = self.read_now.try_send(());
             }
-            Inbound::SendFailed { to, failure, .. } => {
+            PeerEvent::SendFailed { to, failure, .. } => {
                 log::debug!("event=peer_send_failed to={to} error={failure:?}");
             }
         }
--- a/crates/core/src/shell/forward.rs
+++ b/crates/core/src/shell/forward.rs
@@ -7,8 +7,8 @@
 use jayreel_fleet::Input;
 use jayreel_model::{Incarnation, Ran, Refusal, RefusalReason, RequestId};
 use jayreel_peer::{
-    AnswerHead, AnswerPart, AnswerSender, ForwardId, ForwardedCall, PeerFailure,
-    PeerNetwork, Reached,
+    ForwardId, ForwardedCall, PeerFailure, PeerNetwork, Reached, ResponseHead,
+    ResponsePart, ResponseSender,
 };
 use jayreel_scheduler::Event;
 use jayreel_scheduler::event::{CallArrived, CallOperation};
@@ -43,7 +43,7 @@
 pub(crate) fn take_forwarded(
     id: ForwardId,
     call: &ForwardedCall,
-    answer: AnswerSender,
+    answer: ResponseSender,
     calls: &CallTable,
     now_ms: u64,
 ) -> Result<CallArrived, serde_json::Error> {
@@ -107,7 +107,7 @@
 
 /// Sends an answer back to the instance that forwarded the call.
 struct ForwardSink {
-    answer: AnswerSender,
+    answer: ResponseSender,
 }
 
 impl AnswerSink for ForwardSink {
@@ -116,7 +116,7 @@
         status: u16,
         headers: &[(String, String)],
     ) -> Result<(), ResponderClosed> {
-        let head = AnswerHead {
+        let head = ResponseHead {
             status,
             headers: headers.to_vec(),
         };
@@ -238,16 +238,20 @@
 
 impl Passing<'_> {
     /// Passes one part on. Returns the responder if more parts may follow.
-    fn pass(&mut self, part: AnswerPart, mut responder: Responder) -> Option<Responder> {
+    fn pass(
+        &mut self,
+        part: ResponsePart,
+        mut responder: Responder,
+    ) -> Option<Responder> {
         let sent = match part {
-            AnswerPart::Head(head) => {
+            ResponsePart::Head(head) => {
                 self.begun = true;
                 responder.head(head.status, &head.headers)
             }
-            AnswerPart::Chunk(bytes) => responder.chunk(&bytes),
-            AnswerPart::Complete => return self.complete(responder),
-            AnswerPart::Refused(refusal) => return self.refuse(responder, refusal),
-            AnswerPart::Failed(failure) => return self.fail(responder, failure),
+            ResponsePart::Chunk(bytes) => responder.chunk(&bytes),
+            ResponsePart::Complete => return self.complete(responder),
+            ResponsePart::Refused(refusal) => return self.refuse(responder, refusal),
+            ResponsePart::Failed(failure) => return self.fail(responder, failure),
         };
         match sent {
             Ok(()) => Some(responder),
--- a/crates/peer/src/answer.rs
+++ b/crates/peer/src/answer.rs
@@ -3,7 +3,7 @@
 use jayreel_model::Refusal;
 use tokio::sync::mpsc;
 
-use crate::error::{AnswerClosed, PeerFailure, PeerFailureKind};
+use crate::error::{PeerFailure, PeerFailureKind, ResponseClosed};
 
 /// Parts that may wait between two threads. More would only hide a slow receiver.
 pub(crate) const ANSWER_WINDOW: usize = 4;
@@ -13,7 +13,7 @@
 
 /// Status and headers of an answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// HTTP status.
     pub status: u16,
     /// Headers.
@@ -23,9 +23,9 @@
 /// A part of an answer. An answer is a head, chunks and `Complete`; or `Refused`; and it
 /// may end in `Failed` at any point.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum AnswerPart {
+pub enum ResponsePart {
     /// Status and headers.
-    Head(AnswerHead),
+    Head(ResponseHead),
     /// A piece of the body.
     Chunk(Vec<u8>),
     /// The answer is complete.
@@ -36,22 +36,22 @@
     Failed(PeerFailure),
 }
 
-impl AnswerPart {
+impl ResponsePart {
     fn is_last(&self) -> bool {
-        !matches!(self, AnswerPart::Head(_) | AnswerPart::Chunk(_))
+        !matches!(self, ResponsePart::Head(_) | ResponsePart::Chunk(_))
     }
 }
 
 /// The answer to a call that this instance forwarded. Dropping it cancels the call.
 #[derive(Debug)]
-pub struct ForwardedAnswer {
-    parts: mpsc::Receiver<AnswerPart>,
+pub struct ForwardedResponse {
+    parts: mpsc::Receiver<ResponsePart>,
     is_over: bool,
 }
 
-impl ForwardedAnswer {
-    pub(crate) fn new(parts: mpsc::Receiver<AnswerPart>) -> ForwardedAnswer {
-        ForwardedAnswer {
+impl ForwardedResponse {
+    pub(crate) fn new(parts: mpsc::Receiver<ResponsePart>) -> ForwardedResponse {
+        ForwardedResponse {
             parts,
             is_over: false,
         }
@@ -59,7 +59,7 @@
 
     /// Waits for the next part. Returns `None` after the last one. Must not be called on an
     /// asynchronous runtime's thread.
-    pub fn next_part(&mut self) -> Option<AnswerPart> {
+    pub fn next_part(&mut self) -> Option<ResponsePart> {
         if self.is_over {
             return None;
         }
@@ -73,41 +73,41 @@
 }
 
 /// The network was closed, at a time when the call may have been sent.
-fn closed_part() -> AnswerPart {
+fn closed_part() -> ResponsePart {
     let message = "the peer network was closed";
-    AnswerPart::Failed(PeerFailure::after(PeerFailureKind::Closed, message))
+    ResponsePart::Failed(PeerFailure::after(PeerFailureKind::Closed, message))
 }
 
 /// Sends the answer to a call that a peer forwarded here. Dropping it without
-/// [`AnswerSender::close`] or [`AnswerSender::refuse`] breaks the answer off.
+/// [`ResponseSender::close`] or [`ResponseSender::refuse`] breaks the answer off.
 #[derive(Debug)]
-pub struct AnswerSender {
-    parts: mpsc::Sender<AnswerPart>,
+pub struct ResponseSender {
+    parts: mpsc::Sender<ResponsePart>,
 }
 
-impl AnswerSender {
-    pub(crate) fn new(parts: mpsc::Sender<AnswerPart>) -> AnswerSender {
-        AnswerSender { parts }
+impl ResponseSender {
+    pub(crate) fn new(parts: mpsc::Sender<ResponsePart>) -> ResponseSender {
+        ResponseSender { parts }
     }
 
     /// Sends status and headers. Blocks while the receiver is slow.
     ///
     /// # Errors
     ///
-    /// [`AnswerClosed`] if the answer is no longer wanted.
-    pub fn head(&mut self, head: AnswerHead) -> Result<(), AnswerClosed> {
-        self.part(AnswerPart::Head(head))
+    /// [`ResponseClosed`] if the answer is no longer wanted.
+    pub fn head(&mut self, head: ResponseHead) -> Result<(), ResponseClosed> {
+        self.part(ResponsePart::Head(head))
     }
 
     /// Sends a piece of the body. Blocks while the receiver is slow.
     ///
     /// # Errors
     ///
-    /// [`AnswerClosed`] if the answer is no longer wanted.
-    pub fn chunk(&mut self, bytes: &[u8]) -> Result<(), AnswerClosed> {
+    /// [`ResponseClosed`] if the answer is no longer wanted.
+    pub fn chunk(&mut self, bytes: &[u8]) -> Result<(), ResponseClosed> {
         bytes
             .chunks(MAX_CHUNK_BYTES)
-            .try_for_each(|piece| self.part(AnswerPart::Chunk(piece.to_vec())))
+            .try_for_each(|piece| self.part(ResponsePart::Chunk(piece.to_vec())))
     }
 
     /// Whether the answer is no longer wanted.
@@ -119,21 +119,21 @@
     ///
     /// # Errors
     ///
-    /// [`AnswerClosed`] if the answer is no longer wanted.
-    pub fn close(mut self) -> Result<(), AnswerClosed> {
-        self.part(AnswerPart::Complete)
+    /// [`ResponseClosed`] if the answer is no longer wanted.
+    pub fn close(mut self) -> Result<(), ResponseClosed> {
+        self.part(ResponsePart::Complete)
     }
 
     /// Refuses the call. No head may have been sent.
     ///
     /// # Errors
     ///
-    /// [`AnswerClosed`] if the answer is no longer wanted.
-    pub fn refuse(mut self, refusal: Refusal) -> Result<(), AnswerClosed> {
-        self.part(AnswerPart::Refused(refusal))
+    /// [`ResponseClosed`] if the answer is no longer wanted.
+    pub fn refuse(mut self, refusal: Refusal) -> Result<(), ResponseClosed> {
+        self.part(ResponsePart::Refused(refusal))
     }
 
-    fn part(&mut self, part: AnswerPart) -> Result<(), AnswerClosed> {
-        self.parts.blocking_send(part).map_err(|_| AnswerClosed)
+    fn part(&mut self, part: ResponsePart) -> Result<(), ResponseClosed> {
+        self.parts.blocking_send(part).map_err(|_| ResponseClosed)
     }
 }
--- a/crates/peer/src/connection.rs
+++ b/crates/peer/src/connection.rs
@@ -18,7 +18,7 @@
 use crate::auth::{Challenge, Role, new_nonce};
 use crate::codec::{MAX_MESSAGE_BYTES, invalid, read_incarnation};
 use crate::error::{PeerFailure, PeerFailureKind};
-use crate::message::Inbound;
+use crate::message::PeerEvent;
 use crate::peer_capnp::{peer, session};
 use crate::runtime::Shared;
 
@@ -202,7 +202,7 @@
     match dial(&shared, None, address).await {
         Ok(connection) => {
             connection.closer.close();
-            shared.emit(Inbound::Discovered {
+            shared.emit(PeerEvent::Discovered {
                 address,
                 incarnation: connection.incarnation,
             });
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -101,12 +101,12 @@
 
 /// The other end no longer wants the answer, or cannot be reached any more.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct AnswerClosed;
+pub struct ResponseClosed;
 
-impl fmt::Display for AnswerClosed {
+impl fmt::Display for ResponseClosed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the forwarding instance no longer waits for the answer")
     }
 }
 
-impl error::Error for AnswerClosed {}
+impl error::Error for ResponseClosed {}
--- a/crates/peer/src/forward.rs
+++ b/crates/peer/src/forward.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-use crate::answer::{AnswerHead, AnswerPart};
+use crate::answer::{ResponseHead, ResponsePart};
 use crate::codec::{invalid, read_headers, read_text, write_call};
 use crate::error::{PeerFailure, PeerFailureKind};
 use crate::link::Link;
@@ -22,14 +22,14 @@
     link: Rc<Link>,
     to: Incarnation,
     call: Box<ForwardedCall>,
-    parts: mpsc::Sender<AnswerPart>,
+    parts: mpsc::Sender<ResponsePart>,
 ) {
     let result = tokio::select! {
         result = run(&shared, &link, &to, *call, &parts) => result,
         // Dropping the other branch cancels the call at the peer.
         () = parts.closed() => return,
     };
-    let last = result.unwrap_or_else(AnswerPart::Failed);
+    let last = result.unwrap_or_else(ResponsePart::Failed);
     // The receiver may have gone away meanwhile.
     let _ = parts.send(last).await;
 }
@@ -39,8 +39,8 @@
     link: &Link,
     to: &Incarnation,
     call: ForwardedCall,
-    parts: &mpsc::Sender<AnswerPart>,
-) -> Result<AnswerPart, PeerFailure> {
+    parts: &mpsc::Sender<ResponsePart>,
+) -> Result<ResponsePart, PeerFailure> {
     let connection = link.connection(shared).await?;
     if connection.incarnation != *to {
         let text = format!("{} answers in place of {to}", connection.incarnation);
@@ -79,9 +79,9 @@
     read_outcome(outcome.map_err(broken)?)
 }
 
-fn read_outcome(outcome: outcome::Reader<'_>) -> Result<AnswerPart, PeerFailure> {
+fn read_outcome(outcome: outcome::Reader<'_>) -> Result<ResponsePart, PeerFailure> {
     match outcome.which().map_err(|err| broken(err.into()))? {
-        outcome::Complete(()) => Ok(AnswerPart::Complete),
+        outcome::Complete(()) => Ok(ResponsePart::Complete),
         outcome::Broken(()) => {
             let text = "the peer broke the answer off";
             Err(PeerFailure::after(PeerFailureKind::Broken, text))
@@ -93,7 +93,7 @@
         outcome::Refused(json) => {
             let refusal = serde_json::from_slice(json.map_err(broken)?);
             refusal
-                .map(AnswerPart::Refused)
+                .map(ResponsePart::Refused)
                 .map_err(|_| broken(invalid("expected a refusal")))
         }
     }
@@ -135,12 +135,12 @@
 
 /// Takes the parts of an answer from the peer.
 struct Sink {
-    parts: mpsc::Sender<AnswerPart>,
+    parts: mpsc::Sender<ResponsePart>,
     progress: Rc<Progress>,
 }
 
 impl Sink {
-    async fn pass_on(&self, part: AnswerPart) -> capnp::Result<()> {
+    async fn pass_on(&self, part: ResponsePart) -> capnp::Result<()> {
         self.progress.is_blocked.set(true);
         let sent = self.parts.send(part).await;
         self.progress.is_blocked.set(false);
@@ -157,11 +157,11 @@
     ) -> capnp::Result<()> {
         let params = params.get()?;
         let headers = read_headers(params.get_headers()?)?;
-        let head = AnswerHead {
+        let head = ResponseHead {
             status: params.get_status(),
             headers,
         };
-        self.pass_on(AnswerPart::Head(head)).await
+        self.pass_on(ResponsePart::Head(head)).await
     }
 
     async fn chunk(
@@ -170,6 +170,6 @@
         _results: answer_sink::ChunkResults,
     ) -> capnp::Result<()> {
         let data = params.get()?.get_data()?.to_vec();
-        self.pass_on(AnswerPart::Chunk(data)).await
+        self.pass_on(ResponsePart::Chunk(data)).await
     }
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,7 +1,7 @@
 //! Messages and forwarded calls between the instances of a fleet, by capnp-rpc over TCP.
 //!
 //! [`TcpPeerNetwork`] runs on one thread of its own. Other threads use it through
-//! [`PeerNetwork`] and receive what arrives as [`Inbound`] events. Each instance dials its
+//! [`PeerNetwork`] and receive what arrives as [`PeerEvent`] events. Each instance dials its
 //! peers for what it sends and accepts their connections for what they send, so a pair of
 //! instances has up to two connections. Both ends prove that they know the secret of the
 //! fleet. A connection that makes no progress is closed and replaced on the next use.
@@ -23,12 +23,14 @@
 mod serve;
 mod session;
 
-pub use crate::answer::{AnswerHead, AnswerPart, AnswerSender, ForwardedAnswer};
+pub use crate::answer::{ForwardedResponse, ResponseHead, ResponsePart, ResponseSender};
 pub use crate::auth::FleetSecret;
 pub use crate::config::{PeerConfig, PeerDeadlines};
-pub use crate::error::{AnswerClosed, PeerError, PeerFailure, PeerFailureKind, Reached};
+pub use crate::error::{
+    PeerError, PeerFailure, PeerFailureKind, Reached, ResponseClosed,
+};
 pub use crate::message::{
-    ForwardId, ForwardedCall, Heartbeat, HeartbeatState, Inbound, MessageBody,
+    ForwardId, ForwardedCall, Heartbeat, HeartbeatState, MessageBody, PeerEvent,
     PeerMessage,
 };
 pub use crate::network::{PeerNetwork, TcpPeerNetwork};
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -4,7 +4,7 @@
 
 use jayreel_model::{Incarnation, KeyHash};
 
-use crate::answer::AnswerSender;
+use crate::answer::ResponseSender;
 use crate::error::PeerFailure;
 
 /// A message to a peer. Messages may be lost, doubled by a sender that repeats them, or
@@ -167,7 +167,7 @@
 
 /// What arrives from peers.
 #[derive(Debug)]
-pub enum Inbound {
+pub enum PeerEvent {
     /// An instance proved at an address that it belongs to the fleet.
     Discovered {
         /// The address that was asked.
@@ -184,7 +184,7 @@
         /// What to run.
         call: Box<ForwardedCall>,
         /// Where the answer goes.
-        answer: AnswerSender,
+        response: ResponseSender,
     },
     /// The forwarding instance cancelled the call or cannot be reached any more. Not sent
     /// after the answer was closed.
--- a/crates/peer/src/network.rs
+++ b/crates/peer/src/network.rs
@@ -13,25 +13,25 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-use crate::answer::{ANSWER_WINDOW, AnswerPart, ForwardedAnswer};
+use crate::answer::{ANSWER_WINDOW, ForwardedResponse, ResponsePart};
 use crate::config::PeerConfig;
 use crate::error::{PeerError, PeerFailure, PeerFailureKind};
-use crate::message::{ForwardedCall, Inbound, PeerMessage};
+use crate::message::{ForwardedCall, PeerEvent, PeerMessage};
 use crate::runtime::{Command, Shared, run};
 
 /// Messages and calls to other instances. No method blocks.
 pub trait PeerNetwork: Send + Sync {
-    /// Sends a message. If the receiver does not confirm it, [`Inbound::SendFailed`]
+    /// Sends a message. If the receiver does not confirm it, [`PeerEvent::SendFailed`]
     /// follows. An answer is a message in the other direction.
     fn send(&self, to: &str, message: PeerMessage);
 
     /// Asks which instance accepts peers at an address. If one of the fleet does,
-    /// [`Inbound::Discovered`] follows.
+    /// [`PeerEvent::Discovered`] follows.
     fn discover(&self, address: SocketAddr);
 
     /// Forwards a call to an incarnation. Never repeats it. The answer arrives in parts;
     /// dropping it cancels the call.
-    fn forward(&self, to: &Incarnation, call: ForwardedCall) -> ForwardedAnswer;
+    fn forward(&self, to: &Incarnation, call: ForwardedCall) -> ForwardedResponse;
 
     /// Sets the addresses of all peers by name. Connections to others are closed.
     fn set_peers(&self, peers: BTreeMap<String, SocketAddr>);
@@ -53,7 +53,7 @@
     /// [`PeerError`] if the listener or the thread cannot be used.
     pub fn start(
         config: PeerConfig,
-    ) -> Result<(TcpPeerNetwork, Receiver<Inbound>), PeerError> {
+    ) -> Result<(TcpPeerNetwork, Receiver<PeerEvent>), PeerError> {
         let local_address = config.listener.local_addr().map_err(PeerError::Listener)?;
         config
             .listener
@@ -113,7 +113,7 @@
         }
     }
 
-    fn forward(&self, to: &Incarnation, call: ForwardedCall) -> ForwardedAnswer {
+    fn forward(&self, to: &Incarnation, call: ForwardedCall) -> ForwardedResponse {
         let (parts, receiver) = mpsc::channel(ANSWER_WINDOW);
         let call = Box::new(call);
         let command = Command::Forward {
@@ -127,9 +127,9 @@
             let text = "the peer network was closed";
             let failure = PeerFailure::before(PeerFailureKind::Closed, text);
             // The channel is new and has room.
-            let _ = parts.try_send(AnswerPart::Failed(failure));
+            let _ = parts.try_send(ResponsePart::Failed(failure));
         }
-        ForwardedAnswer::new(receiver)
+        ForwardedResponse::new(receiver)
     }
 
     fn set_peers(&self, peers: BTreeMap<String, SocketAddr>) {
@@ -142,7 +142,7 @@
 fn run_thread(
     runtime: &Runtime,
     config: PeerConfig,
-    events: Sender<Inbound>,
+    events: Sender<PeerEvent>,
     commands: mpsc::UnboundedReceiver<Command>,
 ) {
     let shared = Rc::new(Shared {
--- a/crates/peer/src/runtime.rs
+++ b/crates/peer/src/runtime.rs
@@ -12,13 +12,13 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use crate::answer::AnswerPart;
+use crate::answer::ResponsePart;
 use crate::auth::FleetSecret;
 use crate::config::PeerDeadlines;
 use crate::connection::{Closer, discover};
 use crate::forward::forward;
 use crate::link::Link;
-use crate::message::{ForwardId, ForwardedCall, Inbound, PeerMessage};
+use crate::message::{ForwardId, ForwardedCall, PeerEvent, PeerMessage};
 use crate::serve::accept;
 
 /// Interval at which closing looks for unfinished deliveries.
@@ -31,7 +31,7 @@
     Forward {
         to: Incarnation,
         call: Box<ForwardedCall>,
-        parts: mpsc::Sender<AnswerPart>,
+        parts: mpsc::Sender<ResponsePart>,
     },
     Send {
         to: String,
@@ -45,7 +45,7 @@
     pub(crate) own: Incarnation,
     pub(crate) secret: FleetSecret,
     pub(crate) deadlines: PeerDeadlines,
-    pub(crate) events: Sender<Inbound>,
+    pub(crate) events: Sender<PeerEvent>,
     pub(crate) accepted: Cell<usize>,
     pub(crate) accepted_closers: RefCell<Vec<Closer>>,
     pub(crate) next_forward: Cell<u64>,
@@ -54,7 +54,7 @@
 
 impl Shared {
     /// Passes an event to the shell. The shell may have stopped listening.
-    pub(crate) fn emit(&self, event: Inbound) {
+    pub(crate) fn emit(&self, event: PeerEvent) {
         if self.events.send(event).is_err() {
             log::debug!("event=peer_event_dropped");
         }
@@ -133,7 +133,7 @@
     shared.deliveries.set(shared.deliveries.get() + 1);
     let id = message.id;
     if let Err(failure) = link.deliver(&shared, &message).await {
-        shared.emit(Inbound::SendFailed { to, id, failure });
+        shared.emit(PeerEvent::SendFailed { to, id, failure });
     }
     shared.deliveries.set(shared.deliveries.get() - 1);
 }
--- a/crates/peer/src/session.rs
+++ b/crates/peer/src/session.rs
@@ -6,9 +6,9 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout};
 
-use crate::answer::{ANSWER_WINDOW, AnswerHead, AnswerPart, AnswerSender};
+use crate::answer::{ANSWER_WINDOW, ResponseHead, ResponsePart, ResponseSender};
 use crate::codec::{invalid, read_call, read_message, write_headers};
-use crate::message::{ForwardId, ForwardedCall, Inbound};
+use crate::message::{ForwardId, ForwardedCall, PeerEvent};
 use crate::peer_capnp::{answer_sink, outcome, session};
 use crate::runtime::Shared;
 use crate::serve::Accepted;
@@ -44,7 +44,7 @@
         &self,
         call: ForwardedCall,
         sink: answer_sink::Client,
-    ) -> capnp::Result<AnswerPart> {
+    ) -> capnp::Result<ResponsePart> {
         let id = self.shared.next_forward_id();
         // Dropped when the peer cancels, the connection ends or a write fails; after the
         // channel, so that the shell cannot send any more once it is told.
@@ -54,19 +54,19 @@
             is_armed: true,
         };
         let (sender, mut parts) = mpsc::channel(ANSWER_WINDOW);
-        self.shared.emit(Inbound::Forwarded {
+        self.shared.emit(PeerEvent::Forwarded {
             id,
             from: self.peer.clone(),
             call: Box::new(call),
-            answer: AnswerSender::new(sender),
+            response: ResponseSender::new(sender),
         });
         let last = loop {
             match parts.recv().await {
-                Some(AnswerPart::Head(head)) => self.write_head(&sink, head).await?,
-                Some(AnswerPart::Chunk(data)) => self.write_chunk(&sink, &data).await?,
+                Some(ResponsePart::Head(head)) => self.write_head(&sink, head).await?,
+                Some(ResponsePart::Chunk(data)) => self.write_chunk(&sink, &data).await?,
                 Some(last) => break last,
                 None => {
-                    break AnswerPart::Failed(crate::PeerFailure::after(
+                    break ResponsePart::Failed(crate::PeerFailure::after(
                         crate::PeerFailureKind::Broken,
                         "the answer was dropped",
                     ));
@@ -80,7 +80,7 @@
     async fn write_head(
         &self,
         sink: &answer_sink::Client,
-        head: AnswerHead,
+        head: ResponseHead,
     ) -> capnp::Result<()> {
         let mut request = sink.head_request();
         let mut params = request.get();
@@ -133,7 +133,7 @@
             return Err(capnp::Error::overloaded("too many events wait".to_string()));
         }
         let message = read_message(params.get()?.get_message()?)?;
-        self.shared.emit(Inbound::Message {
+        self.shared.emit(PeerEvent::Message {
             from: self.peer.clone(),
             message,
         });
@@ -163,14 +163,14 @@
     }
 }
 
-fn write_outcome(last: AnswerPart, mut outcome: outcome::Builder<'_>) {
+fn write_outcome(last: ResponsePart, mut outcome: outcome::Builder<'_>) {
     match last {
-        AnswerPart::Complete => outcome.set_complete(()),
-        AnswerPart::Refused(refusal) => {
+        ResponsePart::Complete => outcome.set_complete(()),
+        ResponsePart::Refused(refusal) => {
             let json = serde_json::to_vec(&refusal).expect("a refusal is plain data");
             outcome.set_refused(&json);
         }
-        AnswerPart::Chunk(_) | AnswerPart::Failed(_) | AnswerPart::Head(_) => {
+        ResponsePart::Chunk(_) | ResponsePart::Failed(_) | ResponsePart::Head(_) => {
             outcome.set_broken(());
         }
     }
@@ -186,7 +186,8 @@
 impl Drop for CancelGuard {
     fn drop(&mut self) {
         if self.is_armed {
-            self.shared.emit(Inbound::ForwardCancelled { id: self.id });
+            self.shared
+                .emit(PeerEvent::ForwardCancelled { id: self.id });
         }
     }
 }
--- a/crates/peer/tests/forward.rs
+++ b/crates/peer/tests/forward.rs
@@ -9,21 +9,21 @@
 
 use jayreel_model::{Refusal, RefusalReason};
 use jayreel_peer::{
-    AnswerHead, AnswerPart, ForwardedAnswer, PeerDeadlines, PeerFailureKind, PeerNetwork,
-    Reached,
+    ForwardedResponse, PeerDeadlines, PeerFailureKind, PeerNetwork, Reached,
+    ResponseHead, ResponsePart,
 };
 use support::relay::Relay;
 use support::{DEADLINES, Instance, call, failure, incarnation, message, pair};
 
-fn head() -> AnswerHead {
+fn head() -> ResponseHead {
     let headers = vec![("x-a".to_string(), "1".to_string())];
-    AnswerHead {
+    ResponseHead {
         status: 200,
         headers,
     }
 }
 
-fn forward(a: &Instance) -> ForwardedAnswer {
+fn forward(a: &Instance) -> ForwardedResponse {
     a.network.forward(&incarnation("b.1"), call())
 }
 
@@ -41,15 +41,15 @@
         sender.chunk(&large).expect("wanted");
         sender.close().expect("wanted");
     });
-    assert_eq!(answer.next_part(), Some(AnswerPart::Head(head())));
+    assert_eq!(answer.next_part(), Some(ResponsePart::Head(head())));
     let mut body = Vec::new();
     let last = loop {
         match answer.next_part() {
-            Some(AnswerPart::Chunk(bytes)) => body.extend(bytes),
+            Some(ResponsePart::Chunk(bytes)) => body.extend(bytes),
             other => break other,
         }
     };
-    assert_eq!(last, Some(AnswerPart::Complete));
+    assert_eq!(last, Some(ResponsePart::Complete));
     assert_eq!(answer.next_part(), None);
     assert_eq!(body, [b"first".as_slice(), &expected].concat());
     writer.join().expect("written");
@@ -59,7 +59,7 @@
 #[test]
 fn answers_of_concurrent_calls_are_not_mixed() {
     let (a, b) = pair();
-    let mut answers: Vec<ForwardedAnswer> = (0..20u8)
+    let mut answers: Vec<ForwardedResponse> = (0..20u8)
         .map(|number| {
             let call = jayreel_peer::ForwardedCall {
                 body: vec![number],
@@ -75,8 +75,8 @@
         sender.close().expect("wanted");
     }
     for (number, answer) in (0..).zip(&mut answers) {
-        assert_eq!(answer.next_part(), Some(AnswerPart::Chunk(vec![number])));
-        assert_eq!(answer.next_part(), Some(AnswerPart::Complete));
+        assert_eq!(answer.next_part(), Some(ResponsePart::Chunk(vec![number])));
+        assert_eq!(answer.next_part(), Some(ResponsePart::Complete));
     }
 }
 
@@ -86,7 +86,7 @@
     let mut answer = forward(&a);
     let refusal = Refusal::not_run(RefusalReason::WrongTurn, "the next turn is 4");
     b.forwarded().2.refuse(refusal.clone()).expect("wanted");
-    assert_eq!(answer.next_part(), Some(AnswerPart::Refused(refusal)));
+    assert_eq!(answer.next_part(), Some(ResponsePart::Refused(refusal)));
 }
 
 #[test]
@@ -113,7 +113,7 @@
         "the writer ran ahead of the reader"
     );
     let mut chunks = 0;
-    while let Some(AnswerPart::Chunk(_)) = answer.next_part() {
+    while let Some(ResponsePart::Chunk(_)) = answer.next_part() {
         chunks += 1;
     }
     assert_eq!(chunks, 200);
@@ -139,11 +139,11 @@
     let mut parts = 0;
     let last = loop {
         match answer.next_part() {
-            Some(AnswerPart::Chunk(_)) => parts += 1,
+            Some(ResponsePart::Chunk(_)) => parts += 1,
             other => break other,
         }
     };
-    assert_eq!((parts, last), (20, Some(AnswerPart::Complete)));
+    assert_eq!((parts, last), (20, Some(ResponsePart::Complete)));
     writer.join().expect("written");
 }
 
@@ -236,7 +236,7 @@
     let mut answer = forward(&a);
     let (id, _, mut sender) = b.forwarded();
     sender.head(head()).expect("wanted");
-    assert_eq!(answer.next_part(), Some(AnswerPart::Head(head())));
+    assert_eq!(answer.next_part(), Some(ResponsePart::Head(head())));
     // The head is confirmed before this message, so that only the silence ends the call.
     a.network.send("b", message(1));
     b.message();
@@ -246,7 +246,7 @@
     assert!(sender.is_cancelled());
     let mut again = forward(&a);
     b.forwarded().2.close().expect("wanted");
-    assert_eq!(again.next_part(), Some(AnswerPart::Complete));
+    assert_eq!(again.next_part(), Some(ResponsePart::Complete));
 }
 
 #[test]
@@ -293,5 +293,5 @@
     assert_eq!(failure(&mut answer).reached, Reached::No);
     let mut answer = forward(&a);
     b.forwarded().2.close().expect("wanted");
-    assert_eq!(answer.next_part(), Some(AnswerPart::Complete));
+    assert_eq!(answer.next_part(), Some(ResponsePart::Complete));
 }
--- a/crates/peer/tests/message.rs
+++ b/crates/peer/tests/message.rs
@@ -10,7 +10,7 @@
 
 use jayreel_model::KeyHash;
 use jayreel_peer::{
-    Heartbeat, HeartbeatState, Inbound, MessageBody, PeerFailureKind, PeerMessage,
+    Heartbeat, HeartbeatState, MessageBody, PeerEvent, PeerFailureKind, PeerMessage,
     PeerNetwork, Reached,
 };
 use support::relay::Relay;
@@ -110,7 +110,7 @@
     a.network.discover(stranger.address());
     a.network.discover(b.address());
     match a.event() {
-        Inbound::Discovered {
+        PeerEvent::Discovered {
             address,
             incarnation: found,
         } => assert_eq!((address, found), (b.address(), incarnation("b.7"))),
@@ -184,9 +184,9 @@
         a.network.send("b", message(id));
         crossbeam::channel::select! {
             recv(b.events) -> event => match event.expect("b runs") {
-                Inbound::Message { message, .. } if message.id >= first_id => return older,
+                PeerEvent::Message { message, .. } if message.id >= first_id => return older,
                 // A message of the old connection whose confirmation was lost.
-                Inbound::Message { message, .. } => older.push(message.id),
+                PeerEvent::Message { message, .. } => older.push(message.id),
                 other => panic!("expected a message, got {other:?}"),
             },
             // A message may still meet the old connection.
--- a/crates/peer/tests/support/mod.rs
+++ b/crates/peer/tests/support/mod.rs
@@ -10,9 +10,9 @@
 use crossbeam::channel::Receiver;
 use jayreel_model::Incarnation;
 use jayreel_peer::{
-    AnswerPart, AnswerSender, FleetSecret, ForwardId, ForwardedAnswer, ForwardedCall,
-    Inbound, MessageBody, PeerConfig, PeerDeadlines, PeerFailure, PeerMessage,
-    PeerNetwork, TcpPeerNetwork,
+    FleetSecret, ForwardId, ForwardedCall, ForwardedResponse, MessageBody, PeerConfig,
+    PeerDeadlines, PeerEvent, PeerFailure, PeerMessage, PeerNetwork, ResponsePart,
+    ResponseSender, TcpPeerNetwork,
 };
 
 /// Generous, since other programs use the machine.
@@ -29,7 +29,7 @@
 
 pub struct Instance {
     pub network: TcpPeerNetwork,
-    pub events: Receiver<Inbound>,
+    pub events: Receiver<PeerEvent>,
 }
 
 impl Instance {
@@ -57,7 +57,7 @@
             .set_peers(BTreeMap::from([(name.to_string(), address)]));
     }
 
-    pub fn event(&self) -> Inbound {
+    pub fn event(&self) -> PeerEvent {
         self.events
             .recv_timeout(LIMIT)
             .expect("an event within the limit")
@@ -65,30 +65,30 @@
 
     pub fn message(&self) -> (String, PeerMessage) {
         match self.event() {
-            Inbound::Message { from, message } => (from, message),
+            PeerEvent::Message { from, message } => (from, message),
             other => panic!("expected a message, got {other:?}"),
         }
     }
 
     pub fn send_failure(&self) -> (u64, PeerFailure) {
         match self.event() {
-            Inbound::SendFailed { id, failure, .. } => (id, failure),
+            PeerEvent::SendFailed { id, failure, .. } => (id, failure),
             other => panic!("expected a failed message, got {other:?}"),
         }
     }
 
-    pub fn forwarded(&self) -> (ForwardId, ForwardedCall, AnswerSender) {
+    pub fn forwarded(&self) -> (ForwardId, ForwardedCall, ResponseSender) {
         match self.event() {
-            Inbound::Forwarded {
-                id, call, answer, ..
-            } => (id, *call, answer),
+            PeerEvent::Forwarded {
+                id, call, response, ..
+            } => (id, *call, response),
             other => panic!("expected a call, got {other:?}"),
         }
     }
 
     pub fn cancelled(&self) -> ForwardId {
         match self.event() {
-            Inbound::ForwardCancelled { id } => id,
+            PeerEvent::ForwardCancelled { id } => id,
             other => panic!("expected a cancellation, got {other:?}"),
         }
     }
@@ -125,11 +125,11 @@
 }
 
 /// The failure that ends an answer.
-pub fn failure(answer: &mut ForwardedAnswer) -> PeerFailure {
+pub fn failure(answer: &mut ForwardedResponse) -> PeerFailure {
     loop {
         match answer.next_part() {
-            Some(AnswerPart::Failed(failure)) => return failure,
-            Some(AnswerPart::Head(_) | AnswerPart::Chunk(_)) => {}
+            Some(ResponsePart::Failed(failure)) => return failure,
+            Some(ResponsePart::Head(_) | ResponsePart::Chunk(_)) => {}
             other => panic!("expected a failure, got {other:?}"),
         }
     }
