--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -131,7 +131,7 @@
     pub state: HeartbeatState,
     /// Number of running calls.
     pub running_calls: u32,
-    /// Number of queued calls.
+    /// Number of calls that wait to run.
     pub waiting_calls: u32,
     /// IP address and port where the sender accepts peers. A receiver that has not read the
     /// sender's registration from the store yet replies to this address.
--- a/crates/peer/tests/message.rs
+++ b/crates/peer/tests/message.rs
@@ -1,5 +1,5 @@
-//! Guards against messages that arrive changed, twice, or from a stranger, and against a
-//! failure that is not reported.
+//! Guards against messages that are changed, duplicated or accepted from instances outside the
+//! fleet, and against failed sends that are not reported.
 
 mod support;
 
@@ -14,10 +14,10 @@
     PeerNetwork, Reached,
 };
 use support::relay::Relay;
-use support::{DEADLINES, Instance, LIMIT, incarnation, message, pair};
+use support::{DEADLINES, EVENT_TIMEOUT, Instance, incarnation, message, start_pair};
 use test_case::test_case;
 
-/// Attempts at sending a message on a new connection.
+/// Most messages that a test sends until one is delivered.
 const MAX_ATTEMPTS: u64 = 20;
 
 fn heartbeat(state: HeartbeatState, store_contact_age_ms: Option<u64>) -> Heartbeat {
@@ -33,6 +33,7 @@
     }
 }
 
+/// At least one body of each variant but `Takeover`, with edge cases of the encoding.
 fn bodies() -> Vec<MessageBody> {
     let customer = "acme".to_string();
     let body = vec![0, 255, 1];
@@ -88,28 +89,28 @@
 
 #[test]
 fn each_message_arrives_unchanged_and_once() {
-    let (a, b) = pair();
+    let (a, b) = start_pair();
     for (id, body) in (1..).zip(bodies()) {
         let reply_to = (id % 2 == 0).then_some(id + 100);
         let sent = PeerMessage { id, reply_to, body };
         a.network.send("b", sent.clone());
-        assert_eq!(b.message(), ("a".to_string(), sent));
+        assert_eq!(b.next_message(), ("a".to_string(), sent));
     }
     b.network.send("a", message(1));
-    assert_eq!(a.message(), ("b".to_string(), message(1)));
+    assert_eq!(a.next_message(), ("b".to_string(), message(1)));
     assert!(b.events.is_empty());
 }
 
-/// Guards against a start that cannot tell which instance a seed is, and against taking a
-/// stranger for one.
+/// Guards against seed addresses that are not resolved to an instance, and against an instance
+/// of another fleet that is taken for a peer.
 #[test]
-fn discovery_names_only_instances_of_the_fleet() {
+fn discovery_finds_only_instances_of_the_fleet() {
     let a = Instance::start("a.1");
-    let stranger = Instance::start_with("c.1", "another fleet", DEADLINES);
+    let outsider = Instance::start_with("c.1", "another fleet", DEADLINES);
     let b = Instance::start("b.7");
-    a.network.discover(stranger.address());
+    a.network.discover(outsider.address());
     a.network.discover(b.address());
-    match a.event() {
+    match a.next_event() {
         PeerEvent::Discovered {
             address,
             incarnation: found,
@@ -117,34 +118,40 @@
         other => panic!("expected a discovery, got {other:?}"),
     }
     let more = a.events.recv_timeout(Duration::from_millis(300));
-    assert!(more.is_err(), "the stranger was taken for a peer: {more:?}");
+    assert!(
+        more.is_err(),
+        "an instance of another fleet was taken for a peer: {more:?}"
+    );
 }
 
 #[test]
-fn another_secret_is_refused_by_the_dialer() {
+fn dialer_rejects_a_peer_with_another_secret() {
     let a = Instance::start("a.1");
     let b = Instance::start_with("b.1", "another fleet", DEADLINES);
-    a.knows("b", b.address());
+    a.set_only_peer("b", b.address());
     a.network.send("b", message(5));
-    let (id, failure) = a.send_failure();
+    let (id, failure) = a.next_send_failure();
     assert_eq!((id, failure.kind), (5, PeerFailureKind::Authentication));
     assert_eq!(failure.reached, Reached::No);
     assert!(b.events.is_empty());
 }
 
 #[test]
-fn a_peer_under_another_name_is_refused() {
+fn dialer_rejects_a_peer_with_another_name() {
     let (a, c) = (Instance::start("a.1"), Instance::start("c.1"));
-    a.knows("b", c.address());
+    a.set_only_peer("b", c.address());
     a.network.send("b", message(1));
-    assert_eq!(a.send_failure().1.kind, PeerFailureKind::Authentication);
+    assert_eq!(
+        a.next_send_failure().1.kind,
+        PeerFailureKind::Authentication
+    );
 }
 
 #[test]
-fn an_unknown_or_absent_peer_is_reported_as_not_reached() {
+fn unknown_or_absent_peer_is_reported_as_not_reached() {
     let a = Instance::start("a.1");
     a.network.send("b", message(1));
-    let (_, failure) = a.send_failure();
+    let (_, failure) = a.next_send_failure();
     assert_eq!(
         (failure.kind, failure.reached),
         (PeerFailureKind::UnknownPeer, Reached::No)
@@ -152,32 +159,33 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound");
     drop(listener);
-    a.knows("b", address);
+    a.set_only_peer("b", address);
     a.network.send("b", message(2));
-    let (_, failure) = a.send_failure();
+    let (_, failure) = a.next_send_failure();
     assert_eq!(failure.reached, Reached::No);
 }
 
 #[test]
-fn a_silent_connection_is_found_and_replaced() {
+fn silent_connection_is_detected_and_replaced() {
     let (a, b) = (Instance::start("a.1"), Instance::start("b.1"));
     let relay = Relay::start(b.address());
-    a.knows("b", relay.address());
+    a.set_only_peer("b", relay.address());
     a.network.send("b", message(1));
-    assert_eq!(b.message().1.id, 1);
+    assert_eq!(b.next_message().1.id, 1);
     relay.freeze();
     a.network.send("b", message(2));
-    // The confirmation of the first message may be lost too.
-    while a.send_failure().0 != 2 {}
-    // The silent connection lost the second message.
+    // The confirmation of the first message may be lost too, which reports it as failed.
+    while a.next_send_failure().0 != 2 {}
+    // The relay dropped the second message, so it may arrive only if it was sent again.
     assert!(
         send_until_delivered(&a, &b, 3).is_empty(),
-        "a message was repeated"
+        "a message was sent again"
     );
     assert!(relay.accepted() > 1);
 }
 
-/// Sends messages until one of them is delivered. Returns older ones that arrived.
+/// Sends messages with ascending ids until one is delivered. Returns the ids below `first_id`
+/// of messages that arrived before.
 fn send_until_delivered(a: &Instance, b: &Instance, first_id: u64) -> Vec<u64> {
     let mut older = Vec::new();
     for id in first_id..first_id + MAX_ATTEMPTS {
@@ -185,41 +193,43 @@
         crossbeam::channel::select! {
             recv(b.events) -> event => match event.expect("b runs") {
                 PeerEvent::Message { message, .. } if message.id >= first_id => return older,
-                // A message of the old connection whose confirmation was lost.
+                // Sent on the previous connection, which lost its confirmation.
                 PeerEvent::Message { message, .. } => older.push(message.id),
                 other => panic!("expected a message, got {other:?}"),
             },
-            // A message may still meet the old connection.
+            // The message may have been sent on the previous connection.
             recv(a.events) -> event => {
                 drop(event.expect("a runs"));
                 thread::sleep(Duration::from_millis(50));
             }
-            default(LIMIT) => panic!("neither delivered nor failed"),
+            default(EVENT_TIMEOUT) => {
+                panic!("the message was neither delivered nor reported as failed")
+            }
         }
     }
     panic!("no message was delivered");
 }
 
 #[test]
-fn a_cut_connection_is_replaced_at_once() {
+fn closed_connection_is_replaced() {
     let (a, b) = (Instance::start("a.1"), Instance::start("b.1"));
     let relay = Relay::start(b.address());
-    a.knows("b", relay.address());
+    a.set_only_peer("b", relay.address());
     for round in 1..4 {
         let first_id = round * 1_000_000;
         send_until_delivered(&a, &b, first_id);
-        relay.cut();
+        relay.close_connections();
     }
 }
 
 #[test]
-fn a_peer_that_accepts_but_never_answers_is_not_reached() {
+fn peer_that_accepts_but_never_replies_is_not_reached() {
     let (a, b) = (Instance::start("a.1"), Instance::start("b.1"));
     let relay = Relay::start(b.address());
     relay.freeze_new(true);
-    a.knows("b", relay.address());
+    a.set_only_peer("b", relay.address());
     a.network.send("b", message(1));
-    let (_, failure) = a.send_failure();
+    let (_, failure) = a.next_send_failure();
     assert_eq!(
         (failure.kind, failure.reached),
         (PeerFailureKind::Timeout, Reached::No)
@@ -227,30 +237,32 @@
 }
 
 #[test]
-fn a_connection_without_authentication_is_closed() {
+fn connection_without_authentication_is_closed() {
     let b = Instance::start("b.1");
     let mut stream = TcpStream::connect(b.address()).expect("connected");
-    stream.set_read_timeout(Some(LIMIT)).expect("a timeout");
+    stream
+        .set_read_timeout(Some(EVENT_TIMEOUT))
+        .expect("a timeout");
     let mut byte = [0];
     match stream.read(&mut byte) {
-        Ok(count) => assert_eq!(count, 0, "a stranger is told nothing"),
+        Ok(count) => assert_eq!(count, 0, "an unauthenticated client was sent data"),
         Err(err) => assert_eq!(err.kind(), ErrorKind::ConnectionReset),
     }
 }
 
-#[test_case(b"\xff\xff\xff\xff\xff\xff\xff\xff" as &[u8]; "many segments")]
-#[test_case(b"GET / HTTP/1.1\r\n\r\n" as &[u8]; "another protocol")]
-fn malformed_bytes_do_not_stop_the_network(bytes: &[u8]) {
-    let (a, b) = pair();
+#[test_case(b"\xff\xff\xff\xff\xff\xff\xff\xff" as &[u8]; "too many segments")]
+#[test_case(b"GET / HTTP/1.1\r\n\r\n" as &[u8]; "HTTP request")]
+fn malformed_input_does_not_stop_the_network(bytes: &[u8]) {
+    let (a, b) = start_pair();
     let mut stream = TcpStream::connect(b.address()).expect("connected");
     std::io::Write::write_all(&mut stream, bytes).expect("written");
     a.network.send("b", message(1));
-    assert_eq!(b.message().1.id, 1);
+    assert_eq!(b.next_message().1.id, 1);
 }
 
 #[test]
-fn closing_waits_for_the_last_message() {
-    let (a, b) = pair();
+fn close_waits_for_the_last_message() {
+    let (a, b) = start_pair();
     let last = PeerMessage {
         id: 1,
         reply_to: None,
@@ -261,6 +273,9 @@
     };
     a.network.send("b", last.clone());
     a.network.close();
-    assert_eq!(b.message().1, last);
-    assert!(a.events.is_empty(), "the message was confirmed");
+    assert_eq!(b.next_message().1, last);
+    assert!(
+        a.events.is_empty(),
+        "the confirmed message was reported as failed"
+    );
 }
--- a/crates/peer/tests/support/mod.rs
+++ b/crates/peer/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Networks and a relay for tests.
+//! Peer networks with their event channels, a TCP relay, and sample messages and calls.
 #![allow(dead_code)]
 
 pub mod relay;
@@ -15,9 +15,11 @@
     ResponseSender, TcpPeerNetwork,
 };
 
-/// Generous, since other programs use the machine.
-pub const LIMIT: Duration = Duration::from_secs(60);
+/// Longest wait for an event. Far above the timeouts under test, since other programs may use
+/// the machine at the same time.
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
 
+/// Short pings, so that tests of silent connections finish soon.
 pub const DEADLINES: PeerDeadlines = PeerDeadlines {
     connect_ms: 2_000,
     call_ms: 2_000,
@@ -27,12 +29,14 @@
     progress_ms: 20_000,
 };
 
+/// The peer network of one instance and the events that it emitted.
 pub struct Instance {
     pub network: TcpPeerNetwork,
     pub events: Receiver<PeerEvent>,
 }
 
 impl Instance {
+    /// Starts an instance with the usual secret and timeouts. `own` is its incarnation.
     pub fn start(own: &str) -> Instance {
         Instance::start_with(own, "fleet", DEADLINES)
     }
@@ -52,33 +56,38 @@
         self.network.local_address()
     }
 
-    pub fn knows(&self, name: &str, address: SocketAddr) {
+    /// Makes one peer the only known one.
+    pub fn set_only_peer(&self, name: &str, address: SocketAddr) {
         self.network
             .set_peers(BTreeMap::from([(name.to_string(), address)]));
     }
 
-    pub fn event(&self) -> PeerEvent {
+    /// Waits for the next event.
+    pub fn next_event(&self) -> PeerEvent {
         self.events
-            .recv_timeout(LIMIT)
+            .recv_timeout(EVENT_TIMEOUT)
             .expect("an event within the limit")
     }
 
-    pub fn message(&self) -> (String, PeerMessage) {
-        match self.event() {
+    /// The sender and the content of the next event, which must be a message.
+    pub fn next_message(&self) -> (String, PeerMessage) {
+        match self.next_event() {
             PeerEvent::Message { from, message } => (from, message),
             other => panic!("expected a message, got {other:?}"),
         }
     }
 
-    pub fn send_failure(&self) -> (u64, PeerFailure) {
-        match self.event() {
+    /// The message id and the error of the next event, which must be a failed send.
+    pub fn next_send_failure(&self) -> (u64, PeerFailure) {
+        match self.next_event() {
             PeerEvent::SendFailed { id, failure, .. } => (id, failure),
             other => panic!("expected a failed message, got {other:?}"),
         }
     }
 
-    pub fn forwarded(&self) -> (ForwardId, ForwardedCall, ResponseSender) {
-        match self.event() {
+    /// The next event, which must be a forwarded call.
+    pub fn next_forwarded(&self) -> (ForwardId, ForwardedCall, ResponseSender) {
+        match self.next_event() {
             PeerEvent::Forwarded {
                 id, call, response, ..
             } => (id, *call, response),
@@ -86,19 +95,20 @@
         }
     }
 
-    pub fn cancelled(&self) -> ForwardId {
-        match self.event() {
+    /// The id in the next event, which must be a cancellation.
+    pub fn next_cancelled(&self) -> ForwardId {
+        match self.next_event() {
             PeerEvent::ForwardCancelled { id } => id,
             other => panic!("expected a cancellation, got {other:?}"),
         }
     }
 }
 
-/// Two instances that know each other.
-pub fn pair() -> (Instance, Instance) {
+/// Instances `a` and `b` that know each other's address.
+pub fn start_pair() -> (Instance, Instance) {
     let (a, b) = (Instance::start("a.1"), Instance::start("b.1"));
-    a.knows("b", b.address());
-    b.knows("a", a.address());
+    a.set_only_peer("b", b.address());
+    b.set_only_peer("a", a.address());
     (a, b)
 }
 
@@ -106,6 +116,7 @@
     text.parse().expect("an incarnation")
 }
 
+/// A message without a body.
 pub fn message(id: u64) -> PeerMessage {
     PeerMessage {
         id,
@@ -114,6 +125,7 @@
     }
 }
 
+/// A call with a query, a header and a body.
 pub fn call() -> ForwardedCall {
     ForwardedCall {
         method: "POST".to_string(),
@@ -124,10 +136,10 @@
     }
 }
 
-/// The failure that ends an answer.
-pub fn failure(answer: &mut ForwardedResponse) -> PeerFailure {
+/// Reads a response up to the failure that must end it.
+pub fn read_failure(response: &mut ForwardedResponse) -> PeerFailure {
     loop {
-        match answer.next_part() {
+        match response.next_part() {
             Some(ResponsePart::Failed(failure)) => return failure,
             Some(ResponsePart::Head(_) | ResponsePart::Chunk(_)) => {}
             other => panic!("expected a failure, got {other:?}"),
--- a/crates/peer/tests/support/relay.rs
+++ b/crates/peer/tests/support/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that can freeze or cut connections.
+//! A TCP relay that can silence or close the connections through it.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,22 +7,25 @@
 use std::thread;
 use std::time::Duration;
 
-const POLL: Duration = Duration::from_millis(10);
+/// Read timeout of the copying threads.
+const READ_TIMEOUT: Duration = Duration::from_millis(10);
 
-struct Pair {
+/// The two sockets of a relayed connection.
+struct RelayedConnection {
     sockets: [TcpStream; 2],
     is_frozen: Arc<AtomicBool>,
 }
 
 #[derive(Default)]
 struct State {
-    pairs: Mutex<Vec<Pair>>,
+    connections: Mutex<Vec<RelayedConnection>>,
     accepted: AtomicUsize,
+    /// Whether new connections start frozen.
     freezes_new: AtomicBool,
     is_closed: AtomicBool,
 }
 
-/// Passes bytes between its own port and a target.
+/// Relays connections to its own port to the target address.
 pub struct Relay {
     address: SocketAddr,
     state: Arc<State>,
@@ -42,28 +45,34 @@
         self.address
     }
 
-    /// Connections so far.
+    /// Number of connections accepted so far, including closed ones.
     pub fn accepted(&self) -> usize {
         self.state.accepted.load(Ordering::SeqCst)
     }
 
-    /// Keeps the present connections open but passes nothing on. New ones work.
+    /// Keeps the current connections open but drops all their data. New connections work.
     pub fn freeze(&self) {
-        for pair in self.state.pairs.lock().expect("not poisoned").iter() {
-            pair.is_frozen.store(true, Ordering::SeqCst);
+        for connection in self.state.connections.lock().expect("not poisoned").iter() {
+            connection.is_frozen.store(true, Ordering::SeqCst);
         }
     }
 
-    /// Whether new connections are accepted but pass nothing on.
+    /// Sets whether new connections are accepted but drop all their data.
     pub fn freeze_new(&self, freezes: bool) {
         self.state.freezes_new.store(freezes, Ordering::SeqCst);
     }
 
-    /// Closes the present connections.
-    pub fn cut(&self) {
-        for pair in self.state.pairs.lock().expect("not poisoned").drain(..) {
-            for socket in pair.sockets {
-                // The connection may be closed already.
+    /// Closes the current connections.
+    pub fn close_connections(&self) {
+        for connection in self
+            .state
+            .connections
+            .lock()
+            .expect("not poisoned")
+            .drain(..)
+        {
+            for socket in connection.sockets {
+                // Fails if the connection is already closed.
                 let _ = socket.shutdown(Shutdown::Both);
             }
         }
@@ -72,9 +81,9 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.cut();
+        self.close_connections();
         self.state.is_closed.store(true, Ordering::SeqCst);
-        // Wakes the accepting thread.
+        // Wakes the accepting thread, so that it sees the flag.
         let _ = TcpStream::connect(self.address);
     }
 }
@@ -91,20 +100,26 @@
         let is_frozen = Arc::new(AtomicBool::new(is_frozen));
         copy(&inner, &outer, &is_frozen);
         copy(&outer, &inner, &is_frozen);
-        let pair = Pair {
+        let connection = RelayedConnection {
             sockets: [inner, outer],
             is_frozen,
         };
-        state.pairs.lock().expect("not poisoned").push(pair);
+        state
+            .connections
+            .lock()
+            .expect("not poisoned")
+            .push(connection);
         state.accepted.fetch_add(1, Ordering::SeqCst);
     }
 }
 
+/// Starts a thread that copies one direction of a connection.
 fn copy(from: &TcpStream, to: &TcpStream, is_frozen: &Arc<AtomicBool>) {
     let mut from = from.try_clone().expect("a socket");
     let mut to = to.try_clone().expect("a socket");
     let is_frozen = is_frozen.clone();
-    from.set_read_timeout(Some(POLL)).expect("a timeout");
+    from.set_read_timeout(Some(READ_TIMEOUT))
+        .expect("a timeout");
     thread::spawn(move || {
         let mut buffer = [0; 16 * 1_024];
         loop {
@@ -114,7 +129,7 @@
                 Err(err) if err.kind() == ErrorKind::WouldBlock => continue,
                 Err(_) => break,
             };
-            // What a frozen connection reads is lost, and the connection never works again.
+            // A frozen connection loses what it reads, so it can never be thawed.
             if !is_frozen.load(Ordering::SeqCst)
                 && to.write_all(&buffer[..count]).is_err()
             {
