--- a/crates/endpoint/src/client.rs
+++ b/crates/endpoint/src/client.rs
@@ -1,4 +1,4 @@
-//! The endpoint client over ureq.
+//! The implementation of [`EndpointClient`] with ureq.
 
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -15,14 +15,16 @@
 /// Settings of an [`HttpEndpointClient`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ClientSettings {
-    /// Idle connections to one endpoint.
+    /// Most idle connections kept open for each endpoint.
     pub max_idle_per_endpoint: usize,
-    /// An idle connection is not used after this time. Common servers keep theirs for at
-    /// least 5 s; a shorter time here makes it rare that both sides act at once.
+    /// An idle connection older than this is not reused. Common servers keep idle
+    /// connections open for at least 5 s. A shorter limit here makes it rare that the server
+    /// closes a connection while a request is being sent on it.
     pub max_idle_age_ms: u64,
-    /// Whether an answer may end with its connection instead of by its framing. The end
-    /// of such an answer looks the same when the endpoint crashes.
-    pub accept_unframed: bool,
+    /// Whether to accept responses that have neither a length nor chunked encoding and so
+    /// end when the connection closes. Such a response looks complete even if the endpoint
+    /// crashed in the middle of it.
+    pub accept_close_delimited: bool,
 }
 
 impl Default for ClientSettings {
@@ -30,17 +32,17 @@
         ClientSettings {
             max_idle_per_endpoint: 32,
             max_idle_age_ms: 4_000,
-            accept_unframed: false,
+            accept_close_delimited: false,
         }
     }
 }
 
-/// Calls endpoints over HTTP/1.1. Follows no redirects, keeps no cookies, changes no
-/// bodies and repeats nothing.
+/// Sends requests over HTTP/1.1. Does not follow redirects, keep cookies, decode bodies or
+/// retry requests.
 #[derive(Debug)]
 pub struct HttpEndpointClient {
     pool: SocketPool,
-    accept_unframed: bool,
+    accept_close_delimited: bool,
 }
 
 impl Default for HttpEndpointClient {
@@ -50,20 +52,21 @@
 }
 
 impl HttpEndpointClient {
-    /// A client with an empty pool of connections.
+    /// Creates a client without open connections.
     pub fn new(settings: &ClientSettings) -> HttpEndpointClient {
         let max_idle_age = Duration::from_millis(settings.max_idle_age_ms);
         HttpEndpointClient {
             pool: SocketPool::new(settings.max_idle_per_endpoint, max_idle_age),
-            accept_unframed: settings.accept_unframed,
+            accept_close_delimited: settings.accept_close_delimited,
         }
     }
 
-    /// A pooled connection for a repeatable request, otherwise a new one.
+    /// Returns a pooled connection if the request is repeatable and there is one, otherwise a
+    /// new one.
     ///
-    /// An endpoint may close an idle connection while a request is on its way. Then it is
-    /// not known whether the request ran, so a request that must not be repeated does not
-    /// take that risk.
+    /// An endpoint may close an idle connection while a request is being sent on it. It is
+    /// then unknown whether the request ran, so a request that must not run twice always gets
+    /// a new connection.
     fn socket(
         &self,
         request: &CallRequest,
@@ -79,9 +82,11 @@
         }
     }
 
-    fn keep(&self, state: &CallState, address: SocketAddr) {
+    /// Puts the connection of a finished call into the pool, unless it has unread bytes or
+    /// the call was cancelled.
+    fn return_to_pool(&self, state: &CallState, address: SocketAddr) {
         let socket = state.detach();
-        if state.has_surplus() || state.is_cancelled() {
+        if state.has_unread_bytes() || state.is_cancelled() {
             return;
         }
         if let Some(socket) = socket {
@@ -100,7 +105,7 @@
         let state = Arc::new(CallState::default());
         register(Box::new(SocketCancel(Arc::clone(&state))));
         let address = parse_address(&request.address)?;
-        let outgoing = exchange::build(request)?;
+        let outgoing = exchange::build_request(request)?;
         if state.is_cancelled() {
             return Err(failure::cancelled(Ran::No));
         }
@@ -110,23 +115,25 @@
             true => {
                 observer.sent();
                 let exchange = exchange::Exchange {
-                    agent: exchange::agent(request, address, socket, &state),
+                    agent: exchange::single_use_agent(request, address, socket, &state),
                     state: &state,
-                    accept_unframed: self.accept_unframed,
+                    accept_close_delimited: self.accept_close_delimited,
                 };
                 exchange.run(outgoing, observer)
             }
             false => Err(failure::cancelled(Ran::No)),
         };
         match outcome {
-            Ok(true) => self.keep(&state, address),
-            // A cancel handle may outlive the call and must not keep the socket open.
+            Ok(true) => self.return_to_pool(&state, address),
+            // Closes the socket now: a cancel handle that outlives the call would otherwise
+            // keep it open.
             Ok(false) | Err(_) => drop(state.detach()),
         }
         outcome.map(|_| ())
     }
 }
 
+/// Cancels a call by shutting down its socket.
 struct SocketCancel(Arc<CallState>);
 
 impl CancelHandle for SocketCancel {
@@ -137,7 +144,7 @@
 
 fn parse_address(text: &str) -> Result<SocketAddr, CallFailure> {
     text.parse().map_err(|_| {
-        let message = format!("address={text:?} is not an IP address and port");
+        let message = format!("endpoint address {text:?} is not an IP address and port");
         failure::not_run(RefusalReason::EndpointFailed, message)
     })
 }
@@ -149,8 +156,9 @@
             true => RefusalReason::EndpointTimeout,
             false => RefusalReason::EndpointFailed,
         };
-        failure::not_run(reason, format!("connect to {address}: {error}"))
+        failure::not_run(reason, format!("cannot connect to {address}: {error}"))
     })?;
+    // Only affects latency, so a failure is ignored.
     let _ = socket.set_nodelay(true);
     Ok(Arc::new(socket))
 }
--- a/crates/endpoint/src/engine.rs
+++ b/crates/endpoint/src/engine.rs
@@ -1,12 +1,12 @@
-//! Control of a model engine: load, cache tags and orders.
+//! Client for the control interface of a model engine: load, models, cache tags and orders.
 //!
-//! | request | answer |
+//! | request | response |
 //! |---|---|
 //! | `GET /load` | `{"running", "waiting", "age_ms"}` |
 //! | `GET /models` | `{"fencing", "models": [...], "adapters": [...]}`, see [`EngineModels`] |
 //! | `GET /cache` | `{"tags": {TAG: TOKENS, ...}}` |
-//! | `DELETE /cache/TAG` | 2xx, also if the engine does not hold it |
-//! | `POST /orders` with `{"fencing", "order": {...}}` | 2xx, or 409 if newer |
+//! | `DELETE /cache/TAG` | 2xx, even if the engine does not hold the tag |
+//! | `POST /orders` with `{"fencing", "order": {...}}` | 2xx, or 409 if the engine has seen a newer fencing number |
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,95 +15,101 @@
 use serde::{Deserialize, Serialize};
 
 use crate::call::{
-    CallFailure, CallHead, CallObserver, CallRequest, CancelHandle, EndpointClient,
+    CallFailure, CallObserver, CallRequest, CancelHandle, EndpointClient, ResponseHead,
 };
 use crate::client::HttpEndpointClient;
 
-/// Most bytes of an engine's answer. Tags have about 60 bytes, so this is some 70,000.
-const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
-/// Deadline for the connection (design section 4.6).
+/// Most bytes of an engine's response. A cache tag takes about 60 bytes, so this is enough
+/// for about 70,000 tags.
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
+/// Timeout for establishing a connection. Set by section 4.6 of the design.
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
-/// Deadline for the first byte and for each further one.
+/// Timeout of each read and write of a control request.
 const PROGRESS_TIMEOUT_MS: u64 = 2_000;
 
-/// The load of an engine as it reports it, some time after the fact.
+/// The load that an engine reports. The counts are `age_ms` old when the engine sends them.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq)]
 pub struct EngineLoad {
-    /// Calls that run.
+    /// Calls that the engine is running.
     pub running: u32,
-    /// Calls that wait in the engine.
+    /// Calls in the engine's own queue.
     pub waiting: u32,
-    /// Age of the figures when they were sent.
+    /// Age of both counts when the engine sent them. 0 if it does not report an age.
     #[serde(default)]
     pub age_ms: u64,
 }
 
-/// What became of an order.
+/// An engine's decision on an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderOutcome {
-    /// The engine took it.
+    /// The engine accepted the order.
     Accepted,
-    /// The engine has seen a newer fencing number.
+    /// The engine rejected the order because it has seen a newer fencing number.
     Superseded,
 }
 
 /// Why a control request failed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ControlError {
-    /// The call failed.
+    /// The request could not be sent or the response is incomplete.
     Call(CallFailure),
-    /// The engine answered with this status.
+    /// The engine responded with an unexpected status.
     Status(u16),
-    /// The engine's answer is malformed.
-    Form(String),
+    /// The response is not as specified, or the request cannot be encoded.
+    Malformed(String),
 }
 
 impl fmt::Display for ControlError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ControlError::Call(failure) => f.write_str(&failure.message),
-            ControlError::Status(status) => write!(f, "engine answered status {status}"),
-            ControlError::Form(message) => write!(f, "engine answer: {message}"),
+            ControlError::Status(status) => {
+                write!(f, "unexpected status {status} from the engine")
+            }
+            ControlError::Malformed(message) => {
+                write!(f, "malformed engine request or response: {message}")
+            }
         }
     }
 }
 
 impl std::error::Error for ControlError {}
 
-/// Controls model engines. `address` is IP address and port.
+/// Controls model engines. `address` is the IP address and port of an engine.
 pub trait EngineControl: Send + Sync {
-    /// The load of the engine.
+    /// Reads the load of the engine.
     ///
     /// # Errors
     ///
-    /// A [`ControlError`]; silence is never taken for an idle engine.
+    /// A [`ControlError`]. A missing or bad response is never read as an idle engine.
     fn load(&self, address: &str) -> Result<EngineLoad, ControlError>;
-    /// What the engine has loaded.
+    /// Reads which models and adapters the engine has loaded.
     ///
     /// # Errors
     ///
-    /// A [`ControlError`]; silence is never taken for an engine without models. Engines
-    /// that do not report their models answer with another status than 200.
+    /// A [`ControlError`]. A missing or bad response is never read as an engine without
+    /// models. An engine that does not report its models responds with a status other than
+    /// 200, which is [`ControlError::Status`].
     fn models(&self, address: &str) -> Result<EngineModels, ControlError>;
-    /// The cache tags that the engine holds.
+    /// Lists the cache tags that the engine holds.
     ///
     /// # Errors
     ///
-    /// A [`ControlError`]; silence is never taken for an empty cache.
+    /// A [`ControlError`]. A missing or bad response is never read as an empty cache.
     fn cache_tags(&self, address: &str) -> Result<Vec<String>, ControlError>;
-    /// Releases the memory of a tag. A tag that the engine does not hold is a success.
+    /// Releases the cache memory of a tag. Succeeds if the engine does not hold the tag.
     ///
     /// # Errors
     ///
-    /// A [`ControlError`], after which the release is to be repeated.
+    /// A [`ControlError`]. The memory may still be held, so the caller has to retry.
     fn release_cache(&self, address: &str, tag: &str) -> Result<(), ControlError>;
-    /// Sends an order. `fencing_number` is the store revision of the record that
-    /// justifies it.
+    /// Sends an order. `fencing_number` is the store revision of the record that justifies
+    /// the order; the engine rejects an order with an older number than it has seen.
     ///
     /// # Errors
     ///
-    /// A [`ControlError`]; the order may have been taken unless it says that the request
-    /// did not run.
+    /// A [`ControlError`]. The order may have taken effect, except after a
+    /// [`ControlError::Call`] with `Ran::No`.
     fn send_order(
         &self,
         address: &str,
@@ -112,11 +118,14 @@
     ) -> Result<OrderOutcome, ControlError>;
 }
 
+/// Response to `GET /cache`.
 #[derive(Deserialize)]
-struct Tags {
+struct CacheTags {
+    /// Number of tokens by tag.
     tags: BTreeMap<String, u64>,
 }
 
+/// Body of `POST /orders`.
 #[derive(Serialize)]
 struct FencedOrder<'a> {
     fencing: u64,
@@ -125,29 +134,36 @@
 
 impl EngineControl for HttpEndpointClient {
     fn load(&self, address: &str) -> Result<EngineLoad, ControlError> {
-        let (status, body) = ask(self, request(address, "GET", "/load"))?;
+        let (status, body) = send(self, request(address, "GET", "/load"))?;
         parse(status, &body)
     }
 
     fn models(&self, address: &str) -> Result<EngineModels, ControlError> {
-        let (status, body) = ask(self, request(address, "GET", "/models"))?;
+        let (status, body) = send(self, request(address, "GET", "/models"))?;
         parse(status, &body)
     }
 
     fn cache_tags(&self, address: &str) -> Result<Vec<String>, ControlError> {
-        let (status, body) = ask(self, request(address, "GET", "/cache"))?;
-        parse::<Tags>(status, &body).map(|answer| answer.tags.into_keys().collect())
+        let (status, body) = send(self, request(address, "GET", "/cache"))?;
+        parse::<CacheTags>(status, &body)
+            .map(|response| response.tags.into_keys().collect())
     }
 
     fn release_cache(&self, address: &str, tag: &str) -> Result<(), ControlError> {
-        let in_alphabet =
+        // The unreserved characters of a URI, which need no escaping. Others, such as a slash,
+        // could reach another path of the engine.
+        let is_unreserved =
             |byte: u8| byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte);
-        if tag.is_empty() || !tag.bytes().all(in_alphabet) {
-            return Err(ControlError::Form("the tag is malformed".to_string()));
+        if tag.is_empty() || !tag.bytes().all(is_unreserved) {
+            return Err(ControlError::Malformed(
+                "the cache tag is empty or has characters that are not allowed"
+                    .to_string(),
+            ));
         }
         let path = format!("/cache/{tag}");
-        match ask(self, request(address, "DELETE", &path))? {
-            // A 404 may come from a wrong path, behind which the memory stays held.
+        match send(self, request(address, "DELETE", &path))? {
+            // A 404 is a failure too: it may mean that the path is wrong, and then the memory
+            // is still held.
             (200..300, _) => Ok(()),
             (status, _) => Err(ControlError::Status(status)),
         }
@@ -164,7 +180,7 @@
             order,
         };
         let body = serde_json::to_vec(&body)
-            .map_err(|error| ControlError::Form(error.to_string()))?;
+            .map_err(|error| ControlError::Malformed(error.to_string()))?;
         let json = ("content-type".to_string(), "application/json".to_string());
         let request = CallRequest {
             headers: vec![json],
@@ -172,7 +188,7 @@
             repeatable: false,
             ..request(address, "POST", "/orders")
         };
-        match ask(self, request)? {
+        match send(self, request)? {
             (200..300, _) => Ok(OrderOutcome::Accepted),
             (409, _) => Ok(OrderOutcome::Superseded),
             (status, _) => Err(ControlError::Status(status)),
@@ -180,6 +196,7 @@
     }
 }
 
+/// A control request without a body. Repeatable, so it may use a pooled connection.
 fn request(address: &str, method: &str, path: &str) -> CallRequest {
     CallRequest {
         address: address.to_string(),
@@ -193,46 +210,49 @@
     }
 }
 
-/// Collects a small answer.
+/// Collects a response up to the size limit.
 #[derive(Default)]
-struct Collector {
+struct ResponseCollector {
     status: u16,
     body: Vec<u8>,
 }
 
-impl CallObserver for Collector {
+impl CallObserver for ResponseCollector {
     fn sent(&mut self) {}
 
-    fn head(&mut self, head: &CallHead) -> bool {
+    fn head(&mut self, head: &ResponseHead) -> bool {
         self.status = head.status;
         true
     }
 
     fn chunk(&mut self, bytes: &[u8]) -> bool {
         self.body.extend_from_slice(bytes);
-        self.body.len() <= MAX_ANSWER_BYTES
+        self.body.len() <= MAX_RESPONSE_BYTES
     }
 }
 
-fn ask(
+/// Sends a request and returns the status and body of its response.
+fn send(
     client: &dyn EndpointClient,
     request: CallRequest,
 ) -> Result<(u16, Vec<u8>), ControlError> {
-    let mut collector = Collector::default();
+    let mut collector = ResponseCollector::default();
     let mut ignore = |_: Box<dyn CancelHandle>| {};
+    // The observer only stops a call whose response is too large.
     match client.call(&request, &mut ignore, &mut collector) {
         Ok(()) => Ok((collector.status, collector.body)),
-        Err(failure) if failure.reason == RefusalReason::CallerGone => {
-            Err(ControlError::Form("the answer is too large".to_string()))
-        }
+        Err(failure) if failure.reason == RefusalReason::CallerGone => Err(
+            ControlError::Malformed("the response is too large".to_string()),
+        ),
         Err(failure) => Err(ControlError::Call(failure)),
     }
 }
 
+/// Decodes the JSON body of a response, which must have status 200.
 fn parse<'a, T: Deserialize<'a>>(status: u16, body: &'a [u8]) -> Result<T, ControlError> {
     match status {
         200 => serde_json::from_slice(body)
-            .map_err(|error| ControlError::Form(error.to_string())),
+            .map_err(|error| ControlError::Malformed(error.to_string())),
         status => Err(ControlError::Status(status)),
     }
 }
--- a/crates/endpoint/src/exchange.rs
+++ b/crates/endpoint/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its answer over an open connection.
+//! Sends one request over an established connection and streams its response.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
@@ -10,15 +10,17 @@
 use ureq::http::{HeaderMap, Method, Request, Response, Version};
 use ureq::{Agent, Body};
 
-use crate::call::{CallFailure, CallHead, CallObserver, CallRequest};
+use crate::call::{CallFailure, CallObserver, CallRequest, ResponseHead};
 use crate::failure;
 use crate::transport::{CallState, FixedResolver, MAX_HEAD_BYTES, SocketConnector};
 
-/// Size of the pieces in which an answer is passed on.
-const PIECE_BYTES: usize = 16 * 1024;
+/// Largest piece of a response body passed to the observer at once.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// The request in the form that ureq takes.
-pub(crate) fn build(request: &CallRequest) -> Result<Request<&[u8]>, CallFailure> {
+/// Converts a request to the type that ureq sends.
+pub(crate) fn build_request(
+    request: &CallRequest,
+) -> Result<Request<&[u8]>, CallFailure> {
     let uri = format!("http://{}{}", request.address, request.path);
     let mut builder = Request::builder().method(request.method.as_str()).uri(uri);
     for (name, value) in &request.headers {
@@ -27,19 +29,21 @@
         }
     }
     builder.body(request.body.as_slice()).map_err(|error| {
-        let message = format!("the request cannot be sent: {error}");
+        let message = format!("the request is not valid HTTP: {error}");
         failure::not_run(RefusalReason::InvalidRequest, message)
     })
 }
 
-/// A last line of defence: the server has already removed credentials.
+/// Second check that no credentials of a caller reach an endpoint. The caller of this crate
+/// has already removed them.
 fn is_credential(name: &str) -> bool {
     name.eq_ignore_ascii_case("authorization")
         || name.eq_ignore_ascii_case("proxy-authorization")
 }
 
-/// An agent that uses the socket for its only request.
-pub(crate) fn agent(
+/// Creates an agent that sends its only request on the given socket. ureq's own headers,
+/// redirects, proxies and connection pool are turned off.
+pub(crate) fn single_use_agent(
     request: &CallRequest,
     address: SocketAddr,
     socket: Arc<TcpStream>,
@@ -65,90 +69,96 @@
     Agent::with_parts(config, connector, FixedResolver(address))
 }
 
-/// What one exchange needs.
+/// One request and response on the agent's connection.
 pub(crate) struct Exchange<'a> {
     pub(crate) agent: Agent,
     pub(crate) state: &'a CallState,
-    pub(crate) accept_unframed: bool,
+    pub(crate) accept_close_delimited: bool,
 }
 
 impl Exchange<'_> {
-    /// Sends the request and passes the answer on. Returns whether the connection may be
-    /// used again.
+    /// Sends the request and streams the response to the observer. Returns whether the
+    /// connection can be reused.
     pub(crate) fn run(
         self,
         outgoing: Request<&[u8]>,
         observer: &mut dyn CallObserver,
     ) -> Result<bool, CallFailure> {
-        let to_head = outgoing.method() == Method::HEAD;
-        let outcome = match has_no_body(&outgoing) {
+        let is_head_request = outgoing.method() == Method::HEAD;
+        let outcome = match omits_content_length(&outgoing) {
             true => self.agent.run(outgoing.map(|_| ())),
             false => self.agent.run(outgoing),
         };
-        let response = outcome
-            .map_err(|error| failure::of_call(self.state, None, &error.to_string()))?;
+        let response = outcome.map_err(|error| {
+            failure::after_connect(self.state, None, &error.to_string())
+        })?;
         let status = response.status().as_u16();
-        let framed = is_framed(&response, to_head);
-        if !framed && !self.accept_unframed {
-            let message = "the end of the answer cannot be told from a lost connection";
-            return Err(failure::of_call(self.state, Some(status), message));
+        let is_framed = is_framed(&response, is_head_request);
+        if !is_framed && !self.accept_close_delimited {
+            let message = "the response has neither a length nor chunked encoding, so \
+                its end cannot be told from a lost connection";
+            return Err(failure::after_connect(self.state, Some(status), message));
         }
-        let reusable = framed && is_kept_open(&response);
-        if !observer.head(&call_head(&response)) {
-            return Err(failure::cancelled(failure::after_head(status)));
+        let is_reusable = is_framed && is_kept_open(&response);
+        if !observer.head(&response_head(&response)) {
+            return Err(failure::cancelled(failure::ran_by_status(status)));
         }
-        self.pass_on(response.into_body(), status, observer)?;
-        Ok(reusable)
+        self.stream_body(response.into_body(), status, observer)?;
+        Ok(is_reusable)
     }
 
-    fn pass_on(
+    /// Reads the body to its end and passes it to the observer.
+    fn stream_body(
         &self,
         body: Body,
         status: u16,
         observer: &mut dyn CallObserver,
     ) -> Result<(), CallFailure> {
         let mut body = body.into_reader();
-        let mut piece = vec![0; PIECE_BYTES];
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
         loop {
-            let count = body.read(&mut piece).map_err(|error| {
-                failure::of_call(self.state, Some(status), &error.to_string())
+            let count = body.read(&mut buffer).map_err(|error| {
+                failure::after_connect(self.state, Some(status), &error.to_string())
             })?;
             match count {
                 0 => return Ok(()),
-                count if observer.chunk(&piece[..count]) => {}
-                _ => return Err(failure::cancelled(failure::after_head(status))),
+                count if observer.chunk(&buffer[..count]) => {}
+                _ => return Err(failure::cancelled(failure::ran_by_status(status))),
             }
         }
     }
 }
 
-/// Whether the request is sent without a length. Methods that usually have a body need one
-/// even if it is empty.
-fn has_no_body(request: &Request<&[u8]>) -> bool {
+/// Whether to send the request without a `Content-Length`. An empty body still gets one if
+/// the method usually has a body.
+fn omits_content_length(request: &Request<&[u8]>) -> bool {
     let usually_has_body = matches!(request.method().as_str(), "POST" | "PUT" | "PATCH");
     request.body().is_empty() && !usually_has_body
 }
 
-/// Whether the head tells where the answer ends.
-fn is_framed(response: &Response<Body>, to_head: bool) -> bool {
+/// Whether the head determines where the response ends, so that a lost connection is noticed.
+/// Responses to HEAD and with status 204 or 304 have no body.
+fn is_framed(response: &Response<Body>, is_head_request: bool) -> bool {
     let headers = response.headers();
-    to_head
+    is_head_request
         || matches!(response.status().as_u16(), 204 | 304)
         || headers.contains_key("content-length")
-        || has_option(headers, "transfer-encoding", "chunked")
+        || list_contains(headers, "transfer-encoding", "chunked")
 }
 
+/// Whether the endpoint keeps the connection open after the response.
 fn is_kept_open(response: &Response<Body>) -> bool {
     response.version() == Version::HTTP_11
-        && !has_option(response.headers(), "connection", "close")
+        && !list_contains(response.headers(), "connection", "close")
 }
 
-/// Whether a header that is a list of options has this one.
-fn has_option(headers: &HeaderMap, name: &str, option: &str) -> bool {
-    options(headers, name).any(|value| value == option)
+/// Whether a header with a comma-separated list contains the element, in lowercase.
+fn list_contains(headers: &HeaderMap, name: &str, element: &str) -> bool {
+    list_elements(headers, name).any(|value| value == element)
 }
 
-fn options<'a>(
+/// The elements of a header with a comma-separated list, in lowercase.
+fn list_elements<'a>(
     headers: &'a HeaderMap,
     name: &'a str,
 ) -> impl Iterator<Item = String> + 'a {
@@ -157,22 +167,29 @@
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
-        .map(|option| option.trim().to_ascii_lowercase())
+        .map(|element| element.trim().to_ascii_lowercase())
 }
 
-fn call_head(response: &Response<Body>) -> CallHead {
-    let named: Vec<String> = options(response.headers(), "connection").collect();
+/// The head for the observer, without hop-by-hop headers, those that `Connection` names, and
+/// values that are not UTF-8.
+fn response_head(response: &Response<Body>) -> ResponseHead {
+    let connection_headers: Vec<String> =
+        list_elements(response.headers(), "connection").collect();
     let headers = response
         .headers()
         .iter()
         .filter(|(name, _)| !is_hop_by_hop(name.as_str()))
-        .filter(|(name, _)| !named.iter().any(|option| option == name.as_str()))
+        .filter(|(name, _)| {
+            !connection_headers
+                .iter()
+                .any(|named| named == name.as_str())
+        })
         .filter_map(|(name, value)| {
             let value = std::str::from_utf8(value.as_bytes()).ok()?;
             Some((name.to_string(), value.to_string()))
         })
         .collect();
-    CallHead {
+    ResponseHead {
         status: response.status().as_u16(),
         headers,
     }
--- a/crates/endpoint/src/failure.rs
+++ b/crates/endpoint/src/failure.rs
@@ -1,22 +1,24 @@
-//! Why a call failed, and whether the request can have run.
+//! Builds [`CallFailure`]s and decides whether a failed request may have run:
 //!
-//! The rule is: `no` only if the kernel took no byte of the request; `yes` if a whole head
-//! with a status of success or redirection arrived; otherwise `unknown`.
+//! - [`Ran::No`] only if the kernel accepted no byte of the request;
+//! - [`Ran::Yes`] if a complete response head with a 2xx or 3xx status arrived;
+//! - [`Ran::Unknown`] otherwise.
 
 use jayreel_model::{Ran, RefusalReason};
 
 use crate::call::CallFailure;
 use crate::transport::CallState;
 
-/// The failure of a call whose connection was open. `status` is that of the answer, if its
-/// head arrived.
-pub(crate) fn of_call(
+/// The failure of a call after its connection was established. `status` is the status of
+/// the response if its head arrived. A cancelled call is reported as such, whatever
+/// `message` says.
+pub(crate) fn after_connect(
     state: &CallState,
     status: Option<u16>,
     message: &str,
 ) -> CallFailure {
     let ran = match status {
-        Some(status) => after_head(status),
+        Some(status) => ran_by_status(status),
         None if state.wrote_nothing() => Ran::No,
         None => Ran::Unknown,
     };
@@ -32,25 +34,25 @@
     }
 }
 
-/// Whether a request ran whose answer has this status. An error status does not say
+/// Whether a request ran, given the status of its response. An error status does not tell
 /// whether the request had an effect before the error.
-pub(crate) fn after_head(status: u16) -> Ran {
+pub(crate) fn ran_by_status(status: u16) -> Ran {
     match status {
         200..400 => Ran::Yes,
         _ => Ran::Unknown,
     }
 }
 
-/// The failure of a call that was cancelled.
+/// The failure of a call that its caller cancelled.
 pub(crate) fn cancelled(ran: Ran) -> CallFailure {
     CallFailure {
         ran,
         reason: RefusalReason::CallerGone,
-        message: "cancelled".to_string(),
+        message: "the call was cancelled".to_string(),
     }
 }
 
-/// The failure of a call whose request was not sent.
+/// The failure of a call of which no byte was sent.
 pub(crate) fn not_run(reason: RefusalReason, message: String) -> CallFailure {
     CallFailure {
         ran: Ran::No,
--- a/crates/endpoint/src/lib.rs
+++ b/crates/endpoint/src/lib.rs
@@ -1,7 +1,8 @@
-//! Calls to model engines and plain services over HTTP.
+//! HTTP/1.1 client for endpoints: model engines and plain services.
 //!
-//! Calls block the calling thread. Each has a progress deadline on every wait and can be
-//! cancelled from another thread. A call is never repeated here.
+//! A call blocks the calling thread and can be cancelled from another thread. Each read and
+//! write of a call has a timeout, so a silent endpoint cannot hold it. This crate never
+//! retries a call. Instead, a failed call reports whether its request may have run.
 
 pub mod call;
 pub mod client;
@@ -13,7 +14,8 @@
 pub mod usage;
 
 pub use crate::call::{
-    CallFailure, CallHead, CallObserver, CallRequest, CancelHandle, EndpointClient, Usage,
+    CallFailure, CallObserver, CallRequest, CancelHandle, EndpointClient, ResponseHead,
+    Usage,
 };
 pub use crate::client::{ClientSettings, HttpEndpointClient};
 pub use crate::engine::{ControlError, EngineControl, EngineLoad, OrderOutcome};
--- a/crates/endpoint/src/pool.rs
+++ b/crates/endpoint/src/pool.rs
@@ -1,11 +1,11 @@
-//! Idle connections, kept for repeatable requests.
+//! Pool of idle connections for repeatable requests.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Idle connections by endpoint. The newest is used first.
+/// Idle connections by endpoint address. The most recently used one is reused first.
 #[derive(Debug)]
 pub(crate) struct SocketPool {
     idle: Mutex<HashMap<SocketAddr, Vec<IdleSocket>>>,
@@ -16,6 +16,7 @@
 #[derive(Debug)]
 struct IdleSocket {
     socket: Arc<TcpStream>,
+    /// When the connection was put into the pool.
     since: Instant,
 }
 
@@ -31,18 +32,20 @@
         }
     }
 
-    /// An idle connection that the endpoint has not closed as far as this side knows.
+    /// Takes an idle connection that the endpoint has not closed as far as the kernel knows.
+    /// Drops the expired and unusable ones that it finds first.
     pub(crate) fn take(&self, address: SocketAddr) -> Option<Arc<TcpStream>> {
         while let Some(candidate) = self.pop(address) {
-            let fresh = candidate.since.elapsed() < self.max_idle_age;
-            if fresh && is_quiet(&candidate.socket) {
+            let is_fresh = candidate.since.elapsed() < self.max_idle_age;
+            if is_fresh && is_open_and_idle(&candidate.socket) {
                 return Some(candidate.socket);
             }
         }
         None
     }
 
-    /// Keeps a connection whose last answer is complete.
+    /// Adds a connection whose last response is complete, and drops all expired ones. If the
+    /// endpoint already has the maximum number of idle connections, the new one is closed.
     pub(crate) fn put(&self, address: SocketAddr, socket: Arc<TcpStream>) {
         let since = Instant::now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
@@ -62,12 +65,13 @@
     }
 }
 
-/// Whether the connection is open and has no bytes to read.
-fn is_quiet(socket: &TcpStream) -> bool {
+/// Whether the connection is open and has no unread bytes, which no request asked for. If so,
+/// the socket is left in blocking mode.
+fn is_open_and_idle(socket: &TcpStream) -> bool {
     if socket.set_nonblocking(true).is_err() {
         return false;
     }
     let peeked = socket.peek(&mut [0; 1]);
-    let quiet = matches!(peeked, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
-    quiet && socket.set_nonblocking(false).is_ok()
+    let is_idle = matches!(peeked, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
+    is_idle && socket.set_nonblocking(false).is_ok()
 }
--- a/crates/endpoint/src/transport.rs
+++ b/crates/endpoint/src/transport.rs
@@ -1,4 +1,5 @@
-//! The socket of one call, as ureq sees it and as other threads may close it.
+//! The socket of one call: a transport for ureq with a timeout on every read and write, and
+//! the state through which other threads can close the socket.
 
 use std::fmt;
 use std::io::{self, Read, Write};
@@ -14,45 +15,49 @@
     Buffers, ConnectionDetails, Connector, LazyBuffers, NextTimeout, Transport,
 };
 
-/// Most bytes of the head of an answer.
+/// Most bytes of a response head.
 pub(crate) const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// Size of the input buffer of a connection. A head must fit into it.
+/// Size of the input buffer of a connection. A complete response head must fit into it.
 const INPUT_BUFFER_BYTES: usize = MAX_HEAD_BYTES;
 /// Size of the output buffer of a connection.
 const OUTPUT_BUFFER_BYTES: usize = 16 * 1024;
 
-/// What is known about the connection of one call. Shared by the thread of the call and
-/// by the threads that may cancel it.
+/// State of the connection of one call. Shared by the thread that runs the call and the
+/// threads that may cancel it.
 #[derive(Debug, Default)]
 pub(crate) struct CallState {
+    /// Set while the call uses the socket.
     socket: Mutex<Option<Arc<TcpStream>>>,
     cancelled: AtomicBool,
+    /// Whether a read or write timed out.
     timed_out: AtomicBool,
-    /// Bytes that the kernel took. Zero proves that the endpoint got nothing.
+    /// Bytes of the request that the kernel accepted. Zero proves that the endpoint received
+    /// none.
     written_bytes: AtomicU64,
-    /// Bytes that arrived but belong to no answer. A connection with such bytes is not
-    /// used again.
-    surplus_bytes: AtomicU64,
+    /// Bytes that were received but not read as part of the response. A connection with such
+    /// bytes must not be reused.
+    unread_bytes: AtomicU64,
 }
 
 impl CallState {
-    /// Makes the socket known to [`CallState::cancel`]. Returns false if the call was
-    /// cancelled before.
+    /// Lets [`CallState::cancel`] close the socket. Returns false if the call was already
+    /// cancelled.
     pub(crate) fn attach(&self, socket: Arc<TcpStream>) -> bool {
         *self.lock() = Some(socket);
         !self.is_cancelled()
     }
 
-    /// Takes the socket away, so that a later cancel does not reach it.
+    /// Removes the socket, so that a later cancel does not close it.
     pub(crate) fn detach(&self) -> Option<Arc<TcpStream>> {
         self.lock().take()
     }
 
-    /// Closes the socket in both directions, which ends a wait in another thread.
+    /// Shuts down the socket, which ends a blocked read or write in another thread.
     pub(crate) fn cancel(&self) {
         let socket = self.lock();
         self.cancelled.store(true, Ordering::SeqCst);
         if let Some(socket) = socket.as_ref() {
+            // Fails if the endpoint has already closed the connection.
             let _ = socket.shutdown(Shutdown::Both);
         }
     }
@@ -69,8 +74,8 @@
         self.written_bytes.load(Ordering::SeqCst) == 0
     }
 
-    pub(crate) fn has_surplus(&self) -> bool {
-        self.surplus_bytes.load(Ordering::SeqCst) > 0
+    pub(crate) fn has_unread_bytes(&self) -> bool {
+        self.unread_bytes.load(Ordering::SeqCst) > 0
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Option<Arc<TcpStream>>> {
@@ -78,7 +83,7 @@
     }
 }
 
-/// Hands the socket of a call to ureq. The socket is already connected.
+/// Gives ureq the socket of a call, which is already connected.
 #[derive(Debug)]
 pub(crate) struct SocketConnector {
     pub(crate) socket: Arc<TcpStream>,
@@ -104,7 +109,8 @@
     }
 }
 
-/// A socket with the progress deadline on every read and write.
+/// A socket whose reads and writes have the progress timeout of the call. ureq's own timeouts
+/// are not used.
 pub(crate) struct SocketTransport {
     socket: Arc<TcpStream>,
     state: Arc<CallState>,
@@ -112,7 +118,8 @@
 }
 
 impl SocketTransport {
-    fn note(&self, error: io::Error) -> ureq::Error {
+    /// Remembers whether the error is a timeout, which ureq's error does not tell.
+    fn io_error(&self, error: io::Error) -> ureq::Error {
         if is_timeout(&error) {
             self.state.timed_out.store(true, Ordering::SeqCst);
         }
@@ -136,17 +143,17 @@
         amount: usize,
         _timeout: NextTimeout,
     ) -> Result<(), ureq::Error> {
-        let mut done = 0;
-        while done < amount {
-            match (&*self.socket).write(&self.buffers.output()[done..amount]) {
-                Ok(0) => return Err(self.note(io::ErrorKind::WriteZero.into())),
+        let mut written = 0;
+        while written < amount {
+            match (&*self.socket).write(&self.buffers.output()[written..amount]) {
+                Ok(0) => return Err(self.io_error(io::ErrorKind::WriteZero.into())),
                 Ok(count) => {
-                    done += count;
+                    written += count;
                     let count = count as u64;
                     self.state.written_bytes.fetch_add(count, Ordering::SeqCst);
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) => return Err(self.note(error)),
+                Err(error) => return Err(self.io_error(error)),
             }
         }
         Ok(())
@@ -156,8 +163,10 @@
         loop {
             let space = self.buffers.input_append_buf();
             if space.is_empty() {
-                // Reading into no space would look like the end of the connection.
-                let message = "the head or a chunk of the answer is too large";
+                // A read into an empty buffer returns 0, which looks like the end of the
+                // connection.
+                let message =
+                    "the head or a chunk of the response exceeds the input buffer";
                 return Err(ureq::Error::Io(io::Error::other(message)));
             }
             match (&*self.socket).read(space) {
@@ -166,25 +175,26 @@
                     return Ok(count > 0);
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) => return Err(self.note(error)),
+                Err(error) => return Err(self.io_error(error)),
             }
         }
     }
 
     fn is_open(&mut self) -> bool {
-        // ureq's own pool is off: the pool of this crate keeps the sockets.
+        // Keeps ureq from pooling the transport: this crate pools the sockets itself.
         false
     }
 }
 
 impl Drop for SocketTransport {
     fn drop(&mut self) {
-        let surplus = self.buffers.input().len() as u64;
-        self.state.surplus_bytes.store(surplus, Ordering::SeqCst);
+        let unread = self.buffers.input().len() as u64;
+        self.state.unread_bytes.store(unread, Ordering::SeqCst);
     }
 }
 
-/// Whether a socket operation ended because its deadline passed.
+/// Whether a socket operation timed out. Unix reports a read or write timeout as
+/// `WouldBlock`.
 pub(crate) fn is_timeout(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -192,7 +202,7 @@
     )
 }
 
-/// Gives ureq the address that the call is already connected to. Looks up no names.
+/// Resolves every name to the address that the call is already connected to.
 #[derive(Debug)]
 pub(crate) struct FixedResolver(pub(crate) SocketAddr);
 
--- a/crates/endpoint/src/usage.rs
+++ b/crates/endpoint/src/usage.rs
@@ -1,39 +1,42 @@
-//! Usage as reported in the answers to chat completions.
+//! Reads token usage from responses to chat completions.
 
 use serde::Deserialize;
 
 use crate::call::Usage;
 
-/// Most bytes of a whole answer, or of one event of a streamed one, that are kept for
-/// reading. A larger one has no usage.
-const MAX_KEPT_BYTES: usize = 4 * 1024 * 1024;
+/// Most bytes that are buffered of a JSON response, or of one line of an event stream. Usage
+/// in anything longer is ignored.
+const MAX_BUFFERED_BYTES: usize = 4 * 1024 * 1024;
 
-/// Reads the usage while an answer is passed on. Changes no byte of it.
+/// Reads the token usage of a response while its body is forwarded.
 #[derive(Debug)]
 pub struct UsageReader {
-    form: Form,
+    format: BodyFormat,
     usage: Option<Usage>,
+    /// Whether the final event was seen.
     done: bool,
 }
 
+/// The format of the body, with what is buffered of it.
 #[derive(Debug)]
-enum Form {
-    /// One JSON document.
-    Whole(Kept),
-    /// Server-sent events; the unfinished line.
-    Events(Kept),
+enum BodyFormat {
+    /// One JSON document, from its start.
+    Json(BoundedBuffer),
+    /// Server-sent events: the line that is not complete yet.
+    EventStream(BoundedBuffer),
 }
 
-/// Bytes up to the limit.
+/// A buffer of at most [`MAX_BUFFERED_BYTES`]. On overflow it drops its content and all that
+/// follows, until it is taken.
 #[derive(Debug, Default)]
-struct Kept {
+struct BoundedBuffer {
     bytes: Vec<u8>,
     overflowed: bool,
 }
 
-impl Kept {
+impl BoundedBuffer {
     fn push(&mut self, bytes: &[u8]) {
-        self.overflowed |= self.bytes.len() + bytes.len() > MAX_KEPT_BYTES;
+        self.overflowed |= self.bytes.len() + bytes.len() > MAX_BUFFERED_BYTES;
         match self.overflowed {
             true => self.bytes.clear(),
             false => self.bytes.extend_from_slice(bytes),
@@ -46,8 +49,9 @@
     }
 }
 
+/// The part of a response or of an event's data that is read.
 #[derive(Deserialize)]
-struct Report {
+struct UsageReport {
     #[serde(default)]
     usage: Option<ReportedUsage>,
 }
@@ -68,54 +72,56 @@
 }
 
 impl UsageReader {
-    /// A reader for an answer with this content type.
+    /// Creates a reader for a response with this content type. Anything but an event stream
+    /// is read as JSON.
     pub fn new(content_type: &str) -> UsageReader {
-        let kind = content_type.split(';').next().unwrap_or_default().trim();
-        let form = match kind.eq_ignore_ascii_case("text/event-stream") {
-            true => Form::Events(Kept::default()),
-            false => Form::Whole(Kept::default()),
+        let media_type = content_type.split(';').next().unwrap_or_default().trim();
+        let format = match media_type.eq_ignore_ascii_case("text/event-stream") {
+            true => BodyFormat::EventStream(BoundedBuffer::default()),
+            false => BodyFormat::Json(BoundedBuffer::default()),
         };
         UsageReader {
-            form,
+            format,
             usage: None,
             done: false,
         }
     }
 
-    /// Takes the next piece of the answer.
+    /// Reads the next piece of the body. Pieces may be cut anywhere.
     pub fn push(&mut self, bytes: &[u8]) {
-        match &mut self.form {
-            Form::Whole(kept) => kept.push(bytes),
-            Form::Events(_) => self.push_events(bytes),
+        match &mut self.format {
+            BodyFormat::Json(buffer) => buffer.push(bytes),
+            BodyFormat::EventStream(_) => self.push_events(bytes),
         }
     }
 
-    /// Whether a streamed answer has had its final event, `data: [DONE]`.
+    /// Whether an event stream has sent its final event, `data: [DONE]`.
     pub fn is_done(&self) -> bool {
         self.done
     }
 
-    /// The usage, if the complete answer reported one that can be true.
+    /// Returns the usage after the last piece, or `None` if the response reported none or a
+    /// malformed one. Cached tokens are limited to the prompt tokens.
     pub fn finish(mut self) -> Option<Usage> {
-        let rest = match &mut self.form {
-            Form::Whole(kept) => kept.take(),
-            Form::Events(kept) => {
-                let line = kept.take();
+        let document = match &mut self.format {
+            BodyFormat::Json(buffer) => buffer.take(),
+            BodyFormat::EventStream(buffer) => {
+                let line = buffer.take();
                 self.read_line(&line);
                 return self.usage;
             }
         };
-        parse(&rest)
+        parse(&document)
     }
 
     fn push_events(&mut self, bytes: &[u8]) {
         for part in bytes.split_inclusive(|byte| *byte == b'\n') {
-            let Form::Events(kept) = &mut self.form else {
+            let BodyFormat::EventStream(buffer) = &mut self.format else {
                 return;
             };
-            kept.push(part);
+            buffer.push(part);
             if part.ends_with(b"\n") {
-                let line = kept.take();
+                let line = buffer.take();
                 self.read_line(&line);
             }
         }
@@ -127,7 +133,7 @@
         };
         let data = data.trim_ascii();
         self.done |= data == b"[DONE]";
-        // Most events carry no usage, or null, and need not be parsed.
+        // Skips parsing the many events that cannot have usage.
         let has_usage = data.windows(7).any(|window| window == b"\"usage\"");
         if has_usage && let Some(usage) = parse(data) {
             self.usage = Some(usage);
@@ -136,7 +142,7 @@
 }
 
 fn parse(json: &[u8]) -> Option<Usage> {
-    let report: Report = serde_json::from_slice(json).ok()?;
+    let report: UsageReport = serde_json::from_slice(json).ok()?;
     let usage = report.usage?;
     let cached = usage
         .prompt_tokens_details
--- a/crates/endpoint/tests/engine.rs
+++ b/crates/endpoint/tests/engine.rs
@@ -1,4 +1,4 @@
-//! Control requests to engines.
+//! Control requests to model engines: requests on the wire and the reading of responses.
 
 mod support;
 
@@ -10,9 +10,10 @@
 use support::{Endpoint, endpoint};
 use test_case::test_case;
 
+/// An engine that gives one response and reports the request.
 fn engine(status: &'static str, body: &'static str) -> Endpoint<Option<String>> {
     endpoint(move |connection| {
-        let request = connection.request();
+        let request = connection.read_request();
         let length = body.len();
         connection.send(&format!(
             "HTTP/1.1 {status}\r\ncontent-length: {length}\r\n\r\n{body}"
@@ -21,14 +22,15 @@
     })
 }
 
-fn first_line(engine: &Endpoint<Option<String>>) -> String {
+/// The request line of the request that the engine received.
+fn request_line(engine: &Endpoint<Option<String>>) -> String {
     let request = engine.report().expect("a request");
     request.lines().next().expect("a line").to_string()
 }
 
-/// Guards against figures that are read wrongly.
+/// Guards against load and cache tags that are read from the wrong fields or paths.
 #[test]
-fn load_and_tags_are_read() {
+fn load_and_cache_tags_are_read() {
     let client = HttpEndpointClient::default();
     let loaded = engine("200 OK", r#"{"running":3,"waiting":1,"age_ms":40,"new":0}"#);
     let expected = EngineLoad {
@@ -41,11 +43,11 @@
     let tags = client.cache_tags(&tagged.address.to_string());
     assert_eq!(tags, Ok(vec!["a.1-7".to_string(), "b.2-8".to_string()]));
     drop(client);
-    assert_eq!(first_line(&loaded), "GET /load HTTP/1.1");
-    assert_eq!(first_line(&tagged), "GET /cache HTTP/1.1");
+    assert_eq!(request_line(&loaded), "GET /load HTTP/1.1");
+    assert_eq!(request_line(&tagged), "GET /cache HTTP/1.1");
 }
 
-/// Guards against models that are read as loaded while the engine still fetches them.
+/// Guards against a model that counts as loaded while the engine is still loading it.
 #[test]
 fn models_are_read() {
     let client = HttpEndpointClient::default();
@@ -61,25 +63,25 @@
     assert_eq!(models.models[0].state, LoadState::Loading);
     assert_eq!(models.usable().collect::<Vec<_>>(), ["m", "a"]);
     drop(client);
-    assert_eq!(first_line(&engine), "GET /models HTTP/1.1");
+    assert_eq!(request_line(&engine), "GET /models HTTP/1.1");
 }
 
-/// Guards against a report with an unknown state that is taken for a loaded model, and
-/// against an engine without reports that is taken for one without models.
-#[test_case("404 Not Found", "{}"; "no reports")]
+/// Guards against an unknown state that counts as loaded, and against an engine that does not
+/// report models being taken for one without models.
+#[test_case("404 Not Found", "{}"; "models are not reported")]
 #[test_case("200 OK", r#"{"models":[{"model":"m","state":"new"}]}"#; "unknown state")]
-fn bad_models_are_an_error(status: &'static str, body: &'static str) {
+fn bad_models_response_is_an_error(status: &'static str, body: &'static str) {
     let client = HttpEndpointClient::default();
     let engine = engine(status, body);
     assert!(client.models(&engine.address.to_string()).is_err());
 }
 
-/// Guards against a bad answer that is taken for an idle engine or an empty cache.
-#[test_case("500 No", "{\"running\":0,\"waiting\":0,\"tags\":[]}"; "error")]
-#[test_case("200 OK", ""; "empty")]
-#[test_case("200 OK", "{}"; "no fields")]
+/// Guards against a bad response being taken for an idle engine or an empty cache.
+#[test_case("500 No", "{\"running\":0,\"waiting\":0,\"tags\":[]}"; "error status")]
+#[test_case("200 OK", ""; "empty body")]
+#[test_case("200 OK", "{}"; "missing fields")]
 #[test_case("200 OK", "{\"running\":-1,\"waiting\":0,\"tags\":[1]}"; "wrong types")]
-fn bad_answer_is_an_error(status: &'static str, body: &'static str) {
+fn bad_response_is_an_error(status: &'static str, body: &'static str) {
     let client = HttpEndpointClient::default();
     let engine = engine(status, body);
     let address = engine.address.to_string();
@@ -87,34 +89,34 @@
     assert!(client.cache_tags(&address).is_err());
 }
 
-/// Guards against releases that are repeated for ever for a tag that is gone, or that are
-/// taken for done when the engine failed.
+/// Guards against a release that is retried forever for a tag that the engine no longer holds,
+/// and against a failed release that counts as done.
 #[test_case("204 No Content", true; "released")]
 #[test_case("404 Not Found", false; "wrong path")]
 #[test_case("503 Busy", false; "failed")]
-fn release(status: &'static str, done: bool) {
+fn release_succeeds_only_with_a_2xx_status(status: &'static str, is_released: bool) {
     let client = HttpEndpointClient::default();
     let engine = engine(status, "");
     let outcome = client.release_cache(&engine.address.to_string(), "a.1-7");
-    assert_eq!(outcome.is_ok(), done);
+    assert_eq!(outcome.is_ok(), is_released);
     drop(client);
-    assert_eq!(first_line(&engine), "DELETE /cache/a.1-7 HTTP/1.1");
+    assert_eq!(request_line(&engine), "DELETE /cache/a.1-7 HTTP/1.1");
 }
 
-/// Guards against tags that reach another path of the engine.
+/// Guards against a tag that reaches another path of the engine.
 #[test]
-fn tag_with_a_slash_is_refused() {
+fn tag_with_a_slash_is_rejected() {
     let client = HttpEndpointClient::default();
     let outcome = client.release_cache("127.0.0.1:1", "../orders");
-    assert!(matches!(outcome, Err(ControlError::Form(_))));
+    assert!(matches!(outcome, Err(ControlError::Malformed(_))));
 }
 
-/// Guards against orders without their fencing number, and against an old order that
-/// passes as accepted.
+/// Guards against an order without its fencing number, and against a superseded order that
+/// counts as accepted.
 #[test_case("202 Accepted", Ok(OrderOutcome::Accepted); "accepted")]
-#[test_case("409 Conflict", Ok(OrderOutcome::Superseded); "old number")]
+#[test_case("409 Conflict", Ok(OrderOutcome::Superseded); "superseded")]
 #[test_case("500 No", Err(ControlError::Status(500)); "failed")]
-fn order(status: &'static str, expected: Result<OrderOutcome, ControlError>) {
+fn order_is_fenced(status: &'static str, expected: Result<OrderOutcome, ControlError>) {
     let client = HttpEndpointClient::default();
     let engine = engine(status, "");
     let order = EngineOrder::LoadModel {
@@ -133,16 +135,16 @@
     assert!(request.ends_with(body), "{request}");
 }
 
-/// Guards against a lost answer that is reported as an order that was not taken.
+/// Guards against an order that is reported as not accepted when only its response was lost.
 #[test]
-fn lost_answer_is_unknown() {
-    let engine = endpoint(|connection| connection.request().is_some());
+fn order_with_lost_response_may_have_run() {
+    let engine = endpoint(|connection| connection.read_request().is_some());
     let client = HttpEndpointClient::default();
     let role = "decode".to_string();
     let order = EngineOrder::SetRole { role };
     let outcome = client.send_order(&engine.address.to_string(), 1, &order);
     let Err(ControlError::Call(failure)) = outcome else {
-        panic!("not a failed call: {outcome:?}");
+        panic!("expected a failed call, got {outcome:?}");
     };
     assert_eq!(failure.ran, Ran::Unknown);
 }
--- a/crates/endpoint/tests/exchange.rs
+++ b/crates/endpoint/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Requests and answers pass unchanged.
+//! Requests and responses are forwarded unchanged.
 
 mod support;
 
@@ -6,10 +6,11 @@
 use support::{call, endpoint, request};
 use test_case::test_case;
 
+/// A complete response.
 const OK: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
-/// Guards against headers that the client library adds, credentials that reach an
-/// endpoint, and bodies that get lost with some methods.
+/// Guards against headers that ureq adds, credentials that reach an endpoint, and bodies that
+/// are dropped with some methods.
 #[test_case("GET", b"", &[]; "get")]
 #[test_case("GET", b"query", &["content-length: 5"]; "get with a body")]
 #[test_case("POST", b"", &["content-length: 0"]; "post without a body")]
@@ -17,10 +18,10 @@
 #[test_case("DELETE", b"abc", &["content-length: 3"]; "delete with a body")]
 #[test_case("PATCH", b"abc", &["content-length: 3"]; "patch")]
 #[test_case("OPTIONS", b"", &[]; "options")]
-#[test_case("PROPFIND", b"abc", &["content-length: 3"]; "other method")]
-fn request_is_unchanged(method: &str, body: &[u8], framing: &[&str]) {
+#[test_case("PROPFIND", b"abc", &["content-length: 3"]; "non-standard method")]
+fn request_is_forwarded_unchanged(method: &str, body: &[u8], framing: &[&str]) {
     let endpoint = endpoint(|connection| {
-        let request = connection.request();
+        let request = connection.read_request();
         connection.send(OK);
         request
     });
@@ -47,11 +48,11 @@
     assert_eq!(sent.as_bytes(), body);
 }
 
-/// Guards against answers that the client library changes or acts on.
+/// Guards against a response that ureq decodes or acts on, such as a redirect.
 #[test]
-fn answer_is_unchanged() {
+fn response_is_forwarded_unchanged() {
     let endpoint = endpoint(|connection| {
-        connection.request();
+        connection.read_request();
         connection.send(
             "HTTP/1.1 302 Found\r\nlocation: /elsewhere\r\ncontent-encoding: gzip\r\n\
              transfer-encoding: chunked\r\nconnection: close, x-hop\r\nx-hop: 1\r\n\
@@ -74,12 +75,12 @@
     assert_eq!(endpoint.report(), 0, "the redirect was followed");
 }
 
-/// Guards against an error answer that is taken for a failed call, whose body the caller
-/// would not see.
+/// Guards against an error response that is reported as a failed call. The caller would not see
+/// its body.
 #[test]
-fn error_answer_passes() {
+fn error_response_is_forwarded() {
     let endpoint = endpoint(|connection| {
-        connection.request();
+        connection.read_request();
         connection
             .send("HTTP/1.1 503 Busy\r\nretry-after: 3\r\ncontent-length: 4\r\n\r\nwait");
     });
@@ -92,14 +93,14 @@
     assert_eq!(record.header("retry-after"), Some("3"));
 }
 
-/// Guards against a wait for a body that never comes.
+/// Guards against waiting for a body that such a response does not have.
 #[test_case("HEAD", "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n"; "head")]
 #[test_case("GET", "HTTP/1.1 204 No Content\r\n\r\n"; "no content")]
 #[test_case("GET", "HTTP/1.1 304 Not Modified\r\ncontent-length: 9\r\n\r\n"; "not modified")]
-fn answer_without_body(method: &str, answer: &'static str) {
+fn response_without_body(method: &str, response: &'static str) {
     let endpoint = endpoint(move |connection| {
-        connection.request();
-        connection.send(answer);
+        connection.read_request();
+        connection.send(response);
         connection.wait_closed()
     });
     let (outcome, record) = call(&CallRequest {
@@ -111,12 +112,12 @@
     assert_eq!(record.body, b"");
 }
 
-/// Guards against an interim answer that is taken for the answer.
+/// Guards against a 1xx response that is taken for the final one.
 #[test_case("HTTP/1.1 100 Continue\r\n\r\n"; "continue")]
 #[test_case("HTTP/1.1 103 Early Hints\r\nlink: </a>\r\n\r\n"; "early hints")]
-fn interim_answer_is_skipped(interim: &'static str) {
+fn interim_response_is_skipped(interim: &'static str) {
     let endpoint = endpoint(move |connection| {
-        connection.request();
+        connection.read_request();
         connection.send(interim);
         connection.send(OK);
     });
@@ -125,11 +126,11 @@
     assert_eq!((record.status(), record.body.as_slice()), (200, &b"ok"[..]));
 }
 
-/// Guards against large bodies that are cut at a buffer's size in either direction.
+/// Guards against bodies that are truncated at the size of a buffer, in either direction.
 #[test]
-fn large_bodies_pass() {
+fn large_bodies_are_forwarded() {
     let endpoint = endpoint(|connection| {
-        let request = connection.request().expect("a request");
+        let request = connection.read_request().expect("a request");
         let body = "y".repeat(3_000_000);
         let length = body.len();
         connection.send(&format!(
--- a/crates/endpoint/tests/failures.rs
+++ b/crates/endpoint/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Failed calls say truthfully whether the request ran.
+//! Failed and cancelled calls report correctly whether the request may have run.
 
 mod support;
 
@@ -8,14 +8,14 @@
 use std::time::Duration;
 
 use jayreel_endpoint::{
-    CallHead, CallObserver, CallRequest, CancelHandle, ClientSettings, EndpointClient,
-    HttpEndpointClient,
+    CallObserver, CallRequest, CancelHandle, ClientSettings, EndpointClient,
+    HttpEndpointClient, ResponseHead,
 };
 use jayreel_model::{Ran, RefusalReason};
-use support::{LIMIT, Record, call, call_with, endpoint, request};
+use support::{RESULT_TIMEOUT, RecordedResponse, call, call_with, endpoint, request};
 use test_case::test_case;
 
-/// Guards against a refused connection that is reported as unknown.
+/// Guards against a refused connection being reported as a request that may have run.
 #[test]
 fn refused_connection_did_not_run() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -28,45 +28,45 @@
     assert!(!record.sent);
 }
 
-/// Guards against a connection attempt without a deadline.
+/// Guards against a connection attempt without a timeout.
 #[test]
 fn connect_timeout_did_not_run() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    rustix::net::listen(&listener, 0).expect("a short queue");
+    rustix::net::listen(&listener, 0).expect("a listener with a short backlog");
     let address = listener.local_addr().expect("an address");
     let short = Duration::from_millis(50);
-    let _queue: Vec<TcpStream> =
+    let _queued: Vec<TcpStream> =
         std::iter::from_fn(|| TcpStream::connect_timeout(&address, short).ok()).collect();
     let (outcome, record) = call(&CallRequest {
         connect_timeout_ms: 50,
         ..request(address)
     });
-    let failure = outcome.expect_err("the queue is full");
+    let failure = outcome.expect_err("the backlog is full");
     assert_eq!(failure.ran, Ran::No);
     assert_eq!(failure.reason, RefusalReason::EndpointTimeout);
     assert!(!record.sent);
 }
 
-/// Guards against an address that is looked up as a name.
+/// Guards against a host name as the address, which would need a DNS lookup.
 #[test]
-fn name_is_not_an_address() {
+fn host_name_is_rejected() {
     let address: SocketAddr = "127.0.0.1:1".parse().expect("an address");
     let (outcome, _) = call(&CallRequest {
         address: "localhost:80".to_string(),
         ..request(address)
     });
-    assert_eq!(outcome.expect_err("a name").ran, Ran::No);
+    assert_eq!(outcome.expect_err("a host name").ran, Ran::No);
 }
 
-/// Guards against a false claim that a request did not run after it was sent, and against
-/// incomplete answers that pass as complete ones.
-#[test_case("", Ran::Unknown; "no answer")]
+/// Guards against a sent request being reported as not run, and against incomplete responses
+/// being taken for complete ones.
+#[test_case("", Ran::Unknown; "no response")]
 #[test_case("HTTP/1.1 200 O", Ran::Unknown; "half a status line")]
 #[test_case("HTTP/1.1 200 OK\r\ncontent-le", Ran::Unknown; "half a head")]
-#[test_case("nonsense\r\n\r\n", Ran::Unknown; "no HTTP")]
+#[test_case("nonsense\r\n\r\n", Ran::Unknown; "not HTTP")]
 #[test_case("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf", Ran::Yes; "half a body")]
 #[test_case("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n", Ran::Yes; "no body")]
-#[test_case("HTTP/1.1 500 No\r\ncontent-length: 9\r\n\r\nhalf", Ran::Unknown; "error")]
+#[test_case("HTTP/1.1 500 No\r\ncontent-length: 9\r\n\r\nhalf", Ran::Unknown; "half a body of an error")]
 #[test_case(
     "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n", Ran::Yes;
     "no last chunk")]
@@ -76,75 +76,80 @@
 #[test_case(
     "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n", Ran::Yes;
     "bad chunk size")]
-#[test_case("HTTP/1.1 200 OK\r\n\r\nwhole?", Ran::Yes; "no framing")]
-fn broken_answer(answer: &'static str, ran: Ran) {
+#[test_case("HTTP/1.1 200 OK\r\n\r\nwhole?", Ran::Yes; "close-delimited")]
+fn incomplete_response_fails_the_call(response: &'static str, ran: Ran) {
     let endpoint = endpoint(move |connection| {
-        connection.request();
-        connection.send(answer);
+        connection.read_request();
+        connection.send(response);
     });
-    let failure = call(&request(endpoint.address)).0.expect_err("it passes");
+    let failure = call(&request(endpoint.address))
+        .0
+        .expect_err("the response is incomplete");
     assert_eq!(failure.ran, ran, "{failure:?}");
     assert_eq!(failure.reason, RefusalReason::EndpointFailed);
 }
 
-/// Guards against silence that holds a call for ever or is taken for an answer.
+/// Guards against a silent endpoint that blocks a call forever, and against silence being taken
+/// for the end of a response.
 #[test_case("", Ran::Unknown; "before the head")]
 #[test_case("HTTP/1.1 200 OK\r\nconte", Ran::Unknown; "in the head")]
 #[test_case("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf", Ran::Yes; "in the body")]
-fn silent_endpoint(answer: &'static str, ran: Ran) {
+fn silent_endpoint_times_out(response: &'static str, ran: Ran) {
     let endpoint = endpoint(move |connection| {
-        connection.request();
-        connection.send(answer);
+        connection.read_request();
+        connection.send(response);
         connection.wait_closed()
     });
     let (outcome, _) = call(&CallRequest {
         progress_timeout_ms: 50,
         ..request(endpoint.address)
     });
-    let failure = outcome.expect_err("it passes");
+    let failure = outcome.expect_err("the endpoint is silent");
     assert_eq!(failure.ran, ran);
     assert_eq!(failure.reason, RefusalReason::EndpointTimeout);
     endpoint.report();
 }
 
-/// Guards against an endpoint that stops reading and holds the call for ever.
+/// Guards against an endpoint that does not read the request and blocks the call forever.
 #[test]
-fn endpoint_that_stops_reading() {
+fn endpoint_that_does_not_read_times_out() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let (outcome, _) = call(&CallRequest {
         body: vec![b'x'; 32 << 20],
         progress_timeout_ms: 50,
         ..request(listener.local_addr().expect("an address"))
     });
-    let failure = outcome.expect_err("it passes");
+    let failure = outcome.expect_err("the endpoint does not read");
     assert_eq!(failure.ran, Ran::Unknown);
     assert_eq!(failure.reason, RefusalReason::EndpointTimeout);
 }
 
-/// Guards against a head without a bound, and one whose rest is taken for the end.
+/// Guards against a response head of unlimited size, and against one that exceeds the buffer
+/// being taken for a closed connection.
 #[test]
-fn large_head() {
+fn too_large_head_fails_the_call() {
     let endpoint = endpoint(|connection| {
-        connection.request();
+        connection.read_request();
         let value = "v".repeat(100_000);
         connection.send(&format!(
             "HTTP/1.1 200 OK\r\nx-long: {value}\r\ncontent-length: 0\r\n\r\n"
         ));
     });
-    let failure = call(&request(endpoint.address)).0.expect_err("it passes");
+    let failure = call(&request(endpoint.address))
+        .0
+        .expect_err("the head is too large");
     assert_eq!(failure.ran, Ran::Unknown);
 }
 
-/// Guards against services that end answers with their connection being unusable where
-/// an operator accepts them.
+/// Guards against close-delimited responses failing although the settings accept them.
 #[test]
-fn unframed_answer_where_accepted() {
+fn close_delimited_response_completes_if_accepted() {
     let endpoint = endpoint(|connection| {
-        connection.request();
+        connection.read_request();
         connection.send("HTTP/1.0 200 OK\r\n\r\nwhole");
     });
     let client = HttpEndpointClient::new(&ClientSettings {
-        accept_unframed: true,
+        accept_close_delimited: true,
         ..ClientSettings::default()
     });
     let (outcome, record) = call_with(&client, &request(endpoint.address));
@@ -152,17 +157,18 @@
     assert_eq!(record.body, b"whole");
 }
 
-/// Cancels its call when the connection is open, or earlier.
+/// Cancels its call once the connection is established, before a byte is sent. The test stores
+/// the handle here.
 #[derive(Default)]
-struct Canceller(Arc<Mutex<Option<Box<dyn CancelHandle>>>>);
+struct CancelOnSent(Arc<Mutex<Option<Box<dyn CancelHandle>>>>);
 
-impl CallObserver for Canceller {
+impl CallObserver for CancelOnSent {
     fn sent(&mut self) {
         let handle = self.0.lock().expect("no panic");
         handle.as_ref().expect("a handle").cancel();
     }
 
-    fn head(&mut self, _head: &CallHead) -> bool {
+    fn head(&mut self, _head: &ResponseHead) -> bool {
         panic!("the call was cancelled");
     }
 
@@ -171,13 +177,13 @@
     }
 }
 
-/// Guards against a request that is sent although it was cancelled before its first byte,
-/// and against its being reported as unknown.
+/// Guards against a request being sent although it was cancelled before its first byte, and
+/// against its being reported as one that may have run.
 #[test]
 fn cancel_before_the_first_byte() {
     let endpoint = endpoint(|connection| connection.wait_closed());
     let client = HttpEndpointClient::default();
-    let mut canceller = Canceller::default();
+    let mut canceller = CancelOnSent::default();
     let slot = Arc::clone(&canceller.0);
     let mut register = |handle| *slot.lock().expect("no panic") = Some(handle);
     let request = request(endpoint.address);
@@ -188,75 +194,85 @@
     assert_eq!(endpoint.report(), 0, "bytes were sent");
 }
 
-/// The same for a cancel before the connection, which is then not tried: nothing listens.
+/// Guards against a call that connects although it was already cancelled. Nothing listens at the
+/// address, so a connection attempt would fail with another reason.
 #[test]
-fn cancel_before_the_connection() {
+fn cancel_before_connecting() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
     let mut register = |handle: Box<dyn CancelHandle>| handle.cancel();
     let client = HttpEndpointClient::default();
-    let outcome =
-        client.call(&request(address), &mut register, &mut Canceller::default());
+    let outcome = client.call(
+        &request(address),
+        &mut register,
+        &mut CancelOnSent::default(),
+    );
     let failure = outcome.expect_err("it was cancelled");
     assert_eq!(failure.ran, Ran::No);
     assert_eq!(failure.reason, RefusalReason::CallerGone);
 }
 
-/// Guards against a cancel that does not end a wait in another thread.
+/// Guards against a cancel that does not end a blocked read in another thread.
 #[test_case("", Ran::Unknown; "before the head")]
 #[test_case("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf", Ran::Yes; "in the body")]
-fn cancel_ends_the_wait(answer: &'static str, ran: Ran) {
-    let (ready, cancel_now) = channel();
+fn cancel_ends_a_blocked_read(response: &'static str, ran: Ran) {
+    let (response_sent, wait_response_sent) = channel();
     let endpoint = endpoint(move |connection| {
-        connection.request();
-        connection.send(answer);
-        ready.send(()).expect("the test waits");
+        connection.read_request();
+        connection.send(response);
+        response_sent.send(()).expect("the test waits");
         connection.wait_closed()
     });
     let (handles, handle) = channel::<Box<dyn CancelHandle>>();
     let (sender, outcome) = channel();
     let request = CallRequest {
-        // Longer than the limit of the test: only the cancel can end the wait.
+        // Longer than the test waits, so that only the cancel can end the read.
         progress_timeout_ms: 600_000,
         ..request(endpoint.address)
     };
     std::thread::spawn(move || {
         let mut register = |handle| handles.send(handle).expect("the test waits");
         let client = HttpEndpointClient::default();
-        sender.send(client.call(&request, &mut register, &mut Record::default()))
+        sender.send(client.call(
+            &request,
+            &mut register,
+            &mut RecordedResponse::default(),
+        ))
     });
-    let handle = handle.recv_timeout(LIMIT).expect("a handle");
-    cancel_now.recv_timeout(LIMIT).expect("a request");
+    let handle = handle.recv_timeout(RESULT_TIMEOUT).expect("a handle");
+    wait_response_sent
+        .recv_timeout(RESULT_TIMEOUT)
+        .expect("a request");
     handle.cancel();
     handle.cancel();
     let outcome = outcome
-        .recv_timeout(LIMIT)
-        .expect("the cancel ends the wait");
+        .recv_timeout(RESULT_TIMEOUT)
+        .expect("the cancel ends the call");
     let failure = outcome.expect_err("it was cancelled");
     assert_eq!(failure.reason, RefusalReason::CallerGone);
     assert!(failure.ran == ran || failure.ran == Ran::Unknown);
     endpoint.report();
 }
 
-/// Guards against an endpoint that goes on for a caller that has left, and against a
-/// cancel handle that outlives its call and keeps the connection open.
+/// Guards against an endpoint that keeps generating for a caller that has disconnected, and
+/// against a cancel handle that outlives its call and keeps the connection open.
 #[test]
-fn observer_stops_the_call() {
+fn observer_cancels_the_call() {
     let endpoint = endpoint(|connection| {
-        connection.request();
+        connection.read_request();
         connection.send("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf");
         connection.wait_closed()
     });
-    let mut record = Record {
-        stop_at: Some(1),
-        ..Record::default()
+    let mut record = RecordedResponse {
+        cancel_at: Some(1),
+        ..RecordedResponse::default()
     };
     let mut handles: Vec<Box<dyn CancelHandle>> = Vec::new();
-    let mut keep = |handle| handles.push(handle);
+    let mut register = |handle| handles.push(handle);
     let client = HttpEndpointClient::default();
-    let outcome = client.call(&request(endpoint.address), &mut keep, &mut record);
-    let failure = outcome.expect_err("it was stopped");
+    let outcome = client.call(&request(endpoint.address), &mut register, &mut record);
+    let failure = outcome.expect_err("the observer cancelled it");
     assert_eq!(failure.reason, RefusalReason::CallerGone);
     assert_eq!(failure.ran, Ran::Yes);
     assert_eq!(endpoint.report(), 0);
--- a/crates/endpoint/tests/support/mod.rs
+++ b/crates/endpoint/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Scripted endpoints on 127.0.0.1 and an observer that records.
+//! Scripted endpoints on 127.0.0.1, and an observer that records the response.
 
 #![allow(dead_code)]
 
@@ -8,30 +8,33 @@
 use std::time::Duration;
 
 use jayreel_endpoint::{
-    CallFailure, CallHead, CallObserver, CallRequest, CancelHandle, EndpointClient,
-    HttpEndpointClient,
+    CallFailure, CallObserver, CallRequest, CancelHandle, EndpointClient,
+    HttpEndpointClient, ResponseHead,
 };
 
-/// Far above any wait in a test that passes.
-pub const LIMIT: Duration = Duration::from_secs(30);
+/// Longest wait for a result. Far above the waits of a passing test.
+pub const RESULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One connection as the scripted endpoint sees it.
+/// A connection that the scripted endpoint accepted.
 pub struct Connection {
     pub stream: TcpStream,
-    /// Number of the connection, from 0.
+    /// Counts the endpoint's connections from 0.
     pub number: usize,
 }
 
 impl Connection {
-    /// Reads one request with its body, or `None` at the end of the connection.
-    pub fn request(&mut self) -> Option<String> {
+    /// Reads one request with its body. `None` if the client closed the connection.
+    pub fn read_request(&mut self) -> Option<String> {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             let mut byte = [0; 1];
             match self.stream.read(&mut byte) {
                 Ok(1) => head.push(byte[0]),
                 _ if head.is_empty() => return None,
-                _ => panic!("half a head: {:?}", String::from_utf8_lossy(&head)),
+                _ => panic!(
+                    "the connection ended in the head: {:?}",
+                    String::from_utf8_lossy(&head)
+                ),
             }
         }
         let text = String::from_utf8(head).expect("an ASCII head");
@@ -45,11 +48,13 @@
         Some(text + &String::from_utf8_lossy(&body))
     }
 
+    /// Writes raw bytes. Ignores errors, since the client may have closed the connection.
     pub fn send(&mut self, text: &str) {
         let _ = self.stream.write_all(text.as_bytes());
     }
 
-    /// Waits until the other side closes. Returns the bytes that arrived before.
+    /// Waits until the client closes the connection. Returns the number of bytes that arrived
+    /// before.
     pub fn wait_closed(&mut self) -> usize {
         let mut rest = Vec::new();
         if let Err(error) = self.stream.read_to_end(&mut rest) {
@@ -59,13 +64,14 @@
     }
 }
 
-/// An endpoint that runs `script` for each connection, one after the other, and reports
-/// what it returns.
+/// A scripted endpoint. It handles one connection at a time.
 pub struct Endpoint<T> {
     pub address: SocketAddr,
+    /// What the script returned for each connection.
     pub reports: Receiver<T>,
 }
 
+/// Starts an endpoint that runs `script` for each connection.
 pub fn endpoint<T: Send + 'static>(
     mut script: impl FnMut(&mut Connection) -> T + Send + 'static,
 ) -> Endpoint<T> {
@@ -75,7 +81,9 @@
     std::thread::spawn(move || {
         for (number, stream) in listener.incoming().enumerate() {
             let stream = stream.expect("a connection");
-            stream.set_read_timeout(Some(LIMIT)).expect("a deadline");
+            stream
+                .set_read_timeout(Some(RESULT_TIMEOUT))
+                .expect("a deadline");
             let report = script(&mut Connection { stream, number });
             if sender.send(report).is_err() {
                 return;
@@ -86,38 +94,41 @@
 }
 
 impl<T> Endpoint<T> {
+    /// Waits for the script of the next connection to end and returns its result.
     pub fn report(&self) -> T {
-        self.reports.recv_timeout(LIMIT).expect("the script ends")
+        self.reports
+            .recv_timeout(RESULT_TIMEOUT)
+            .expect("the script ends")
     }
 }
 
-/// Records the answer.
+/// Records the response of a call.
 #[derive(Debug, Default)]
-pub struct Record {
+pub struct RecordedResponse {
     pub sent: bool,
-    pub head: Option<CallHead>,
+    pub head: Option<ResponseHead>,
     pub body: Vec<u8>,
-    /// Cancels the call when the body has this many bytes.
-    pub stop_at: Option<usize>,
+    /// Cancels the call once the body has this many bytes.
+    pub cancel_at: Option<usize>,
 }
 
-impl CallObserver for Record {
+impl CallObserver for RecordedResponse {
     fn sent(&mut self) {
         self.sent = true;
     }
 
-    fn head(&mut self, head: &CallHead) -> bool {
+    fn head(&mut self, head: &ResponseHead) -> bool {
         self.head = Some(head.clone());
         true
     }
 
     fn chunk(&mut self, bytes: &[u8]) -> bool {
         self.body.extend_from_slice(bytes);
-        self.stop_at.is_none_or(|stop| self.body.len() < stop)
+        self.cancel_at.is_none_or(|limit| self.body.len() < limit)
     }
 }
 
-impl Record {
+impl RecordedResponse {
     pub fn status(&self) -> u16 {
         self.head.as_ref().expect("a head arrived").status
     }
@@ -129,7 +140,7 @@
     }
 }
 
-/// A request that must not be repeated.
+/// A request that is not repeatable.
 pub fn request(address: SocketAddr) -> CallRequest {
     CallRequest {
         address: address.to_string(),
@@ -143,21 +154,22 @@
     }
 }
 
-/// Calls on another thread, so that a call which never ends fails its test.
-pub fn call(request: &CallRequest) -> (Result<(), CallFailure>, Record) {
+/// Runs a call on another thread, so that a call that never ends fails its test.
+pub fn call(request: &CallRequest) -> (Result<(), CallFailure>, RecordedResponse) {
     let request = request.clone();
     let (sender, outcome) = channel();
     std::thread::spawn(move || {
         sender.send(call_with(&HttpEndpointClient::default(), &request))
     });
-    outcome.recv_timeout(LIMIT).expect("the call ends")
+    outcome.recv_timeout(RESULT_TIMEOUT).expect("the call ends")
 }
 
+/// Runs a call on this thread.
 pub fn call_with(
     client: &HttpEndpointClient,
     request: &CallRequest,
-) -> (Result<(), CallFailure>, Record) {
-    let mut record = Record::default();
+) -> (Result<(), CallFailure>, RecordedResponse) {
+    let mut record = RecordedResponse::default();
     let mut ignore = |_: Box<dyn CancelHandle>| {};
     let outcome = client.call(request, &mut ignore, &mut record);
     (outcome, record)
--- a/crates/endpoint/tests/usage.rs
+++ b/crates/endpoint/tests/usage.rs
@@ -1,19 +1,22 @@
-//! Usage is read out of answers, whatever their pieces.
+//! Token usage is read from responses, however they are split into pieces.
 
 use jayreel_endpoint::{Usage, UsageReader};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use test_case::test_case;
 
+/// An event stream whose content mentions usage and whose last events report it.
 const EVENTS: &str = "data: {\"choices\":[{\"delta\":{\"content\":\"\\\"usage\\\" \"}}],\
     \"usage\":null}\r\n\r\n: comment\n\ndata:{\"choices\":[],\"usage\":{\"prompt_tokens\":9,\
     \"completion_tokens\":4,\"total_tokens\":13,\"prompt_tokens_details\":\
     {\"cached_tokens\":8}}}\n\ndata: [DONE]\n\n";
-const WHOLE: &str = r#"{"id":"a","choices":[{"message":{"content":"hi"}}],
+/// A response in one JSON document.
+const JSON: &str = r#"{"id":"a","choices":[{"message":{"content":"hi"}}],
     "usage":{"prompt_tokens":5,"completion_tokens":2}}"#;
 
-fn read(kind: &str, pieces: &[&[u8]]) -> (Option<Usage>, bool) {
-    let mut reader = UsageReader::new(kind);
+/// Feeds the pieces to a reader. Returns the usage and whether the final event was seen.
+fn read(content_type: &str, pieces: &[&[u8]]) -> (Option<Usage>, bool) {
+    let mut reader = UsageReader::new(content_type);
     pieces.iter().for_each(|piece| reader.push(piece));
     let done = reader.is_done();
     (reader.finish(), done)
@@ -27,27 +30,27 @@
     }
 }
 
-/// Guards against usage that is missed, which charges the full reservation.
+/// Guards against usage that is missed: the caller is then charged the full reservation.
 #[test]
 fn usage_is_found() {
     let streamed = read("text/event-stream; charset=utf-8", &[EVENTS.as_bytes()]);
     assert_eq!(streamed, (Some(usage(9, 8, 4)), true));
-    let whole = read("application/json", &[WHOLE.as_bytes()]);
-    assert_eq!(whole, (Some(usage(5, 0, 2)), false));
+    let document = read("application/json", &[JSON.as_bytes()]);
+    assert_eq!(document, (Some(usage(5, 0, 2)), false));
 }
 
-/// Guards against usage that is made up.
-#[test_case("application/json", "{\"usage\":{\"prompt_tokens\":5"; "half an answer")]
-#[test_case("application/json", "{\"choices\":[]}"; "none")]
+/// Guards against usage that the response did not report.
+#[test_case("application/json", "{\"usage\":{\"prompt_tokens\":5"; "truncated document")]
+#[test_case("application/json", "{\"choices\":[]}"; "no usage")]
 #[test_case("application/json", "{\"usage\":{\"prompt_tokens\":-5}}"; "negative")]
 #[test_case("text/event-stream", "data: {\"usage\":null}\n\n"; "null")]
-#[test_case("text/event-stream", "data: {\"usage\":{\"prompt_tok"; "half an event")]
-#[test_case("text/event-stream", "event: {\"usage\":{\"prompt_tokens\":1}}\n"; "no data")]
-fn usage_is_not_found(kind: &str, text: &str) {
-    assert_eq!(read(kind, &[text.as_bytes()]).0, None);
+#[test_case("text/event-stream", "data: {\"usage\":{\"prompt_tok"; "truncated event")]
+#[test_case("text/event-stream", "event: {\"usage\":{\"prompt_tokens\":1}}\n"; "not a data field")]
+fn usage_is_not_found(content_type: &str, text: &str) {
+    assert_eq!(read(content_type, &[text.as_bytes()]).0, None);
 }
 
-/// Guards against more cached tokens than the prompt has, which would corrupt accounts.
+/// Guards against more cached tokens than prompt tokens, which would corrupt the accounting.
 #[test]
 fn cached_tokens_are_bounded() {
     let text =
@@ -56,8 +59,8 @@
     assert_eq!(read.0, Some(usage(5, 5, 0)));
 }
 
-/// Guards against answers without line ends that fill the memory, and against the loss of
-/// usage that follows such a line.
+/// Guards against an event stream without line ends that exhausts memory, and against missing
+/// the usage after such a line.
 #[test]
 fn long_line_is_skipped() {
     let long = vec![b'x'; 1 << 20];
@@ -67,9 +70,9 @@
     assert_eq!(read("text/event-stream", &pieces).0, Some(usage(9, 8, 4)));
 }
 
-/// Guards against whole answers that fill the memory.
+/// Guards against a large document that exhausts memory.
 #[test]
-fn large_answer_has_no_usage() {
+fn usage_of_a_large_document_is_ignored() {
     let pad = "x".repeat(5 << 20);
     let text = format!("{{\"pad\":\"{pad}\",\"usage\":{{\"prompt_tokens\":1}}}}");
     assert_eq!(read("application/json", &[text.as_bytes()]).0, None);
@@ -87,10 +90,10 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Guards against usage that is lost where a piece ends.
+    /// Guards against usage that is missed because it is split between pieces.
     #[test]
-    fn pieces_do_not_matter(cuts in prop::collection::vec(any::<prop::sample::Index>(), 0..9)) {
-        for (kind, text) in [("text/event-stream", EVENTS), ("application/json", WHOLE)] {
+    fn split_into_pieces_does_not_matter(cuts in prop::collection::vec(any::<prop::sample::Index>(), 0..9)) {
+        for (content_type, text) in [("text/event-stream", EVENTS), ("application/json", JSON)] {
             let mut cuts: Vec<usize> = cuts.iter().map(|cut| cut.index(text.len())).collect();
             cuts.push(text.len());
             cuts.sort_unstable();
@@ -100,13 +103,14 @@
                 pieces.push(&text.as_bytes()[start..cut]);
                 start = cut;
             }
-            prop_assert_eq!(read(kind, &pieces), read(kind, &[text.as_bytes()]));
+            prop_assert_eq!(read(content_type, &pieces), read(content_type, &[text.as_bytes()]));
         }
     }
 
-    /// Guards against answers that panic the thread of a call.
+    /// Guards against input that makes the reader panic, which would end the thread of the
+    /// call.
     #[test]
-    fn bytes_never_panic(
+    fn arbitrary_bytes_do_not_panic(
         pieces in prop::collection::vec(
             prop_oneof![
                 prop::collection::vec(any::<u8>(), 0..20),
@@ -117,8 +121,8 @@
         ),
     ) {
         let pieces: Vec<&[u8]> = pieces.iter().map(Vec::as_slice).collect();
-        for kind in ["text/event-stream", "application/json", "", ";"] {
-            let _ = read(kind, &pieces);
+        for content_type in ["text/event-stream", "application/json", "", ";"] {
+            let _ = read(content_type, &pieces);
         }
     }
 }
