--- a/crates/endpoint/src/call.rs
+++ b/crates/endpoint/src/call.rs
@@ -53,7 +53,7 @@
     pub ran: Ran,
     /// The reason to report to the caller.
     pub reason: RefusalReason,
-    /// Description for logs.
+    /// Description of the error, for logs and for the caller if the call is refused.
     pub message: String,
 }
 
--- a/crates/endpoint/src/client.rs
+++ b/crates/endpoint/src/client.rs
@@ -144,7 +144,7 @@
 
 fn parse_address(text: &str) -> Result<SocketAddr, CallFailure> {
     text.parse().map_err(|_| {
-        let message = format!("endpoint address {text:?} is not an IP address and port");
+        let message = format!("address={text:?} is not an IP address and port");
         failure::not_run(RefusalReason::EndpointFailed, message)
     })
 }
@@ -156,7 +156,7 @@
             true => RefusalReason::EndpointTimeout,
             false => RefusalReason::EndpointFailed,
         };
-        failure::not_run(reason, format!("cannot connect to {address}: {error}"))
+        failure::not_run(reason, format!("connect to {address}: {error}"))
     })?;
     // Only affects latency, so a failure is ignored.
     let _ = socket.set_nodelay(true);
--- a/crates/endpoint/src/exchange.rs
+++ b/crates/endpoint/src/exchange.rs
@@ -29,7 +29,7 @@
         }
     }
     builder.body(request.body.as_slice()).map_err(|error| {
-        let message = format!("the request is not valid HTTP: {error}");
+        let message = format!("the request cannot be sent: {error}");
         failure::not_run(RefusalReason::InvalidRequest, message)
     })
 }
@@ -95,8 +95,7 @@
         let status = response.status().as_u16();
         let is_framed = is_framed(&response, is_head_request);
         if !is_framed && !self.accept_close_delimited {
-            let message = "the response has neither a length nor chunked encoding, so \
-                its end cannot be told from a lost connection";
+            let message = "the end of the answer cannot be told from a lost connection";
             return Err(failure::after_connect(self.state, Some(status), message));
         }
         let is_reusable = is_framed && is_kept_open(&response);
--- a/crates/endpoint/src/failure.rs
+++ b/crates/endpoint/src/failure.rs
@@ -48,7 +48,7 @@
     CallFailure {
         ran,
         reason: RefusalReason::CallerGone,
-        message: "the call was cancelled".to_string(),
+        message: "cancelled".to_string(),
     }
 }
 
--- a/crates/endpoint/src/transport.rs
+++ b/crates/endpoint/src/transport.rs
@@ -165,8 +165,7 @@
             if space.is_empty() {
                 // A read into an empty buffer returns 0, which looks like the end of the
                 // connection.
-                let message =
-                    "the head or a chunk of the response exceeds the input buffer";
+                let message = "the head or a chunk of the answer is too large";
                 return Err(ureq::Error::Io(io::Error::other(message)));
             }
             match (&*self.socket).read(space) {
--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -20,7 +20,7 @@
 
 fn check_body_size(body: &[u8]) -> capnp::Result<()> {
     match body.len() > MAX_BODY_BYTES {
-        true => Err(invalid("the body exceeds the size limit of a peer message")),
+        true => Err(invalid("the body is too large for one message")),
         false => Ok(()),
     }
 }
@@ -43,7 +43,7 @@
 }
 
 fn list_length(len: usize) -> capnp::Result<u32> {
-    u32::try_from(len).map_err(|_| invalid("the list has more than 2^32 - 1 elements"))
+    u32::try_from(len).map_err(|_| invalid("the list is too long"))
 }
 
 pub(crate) fn write_headers(
--- a/crates/peer/src/connection.rs
+++ b/crates/peer/src/connection.rs
@@ -130,7 +130,7 @@
     let stream = match connect.await {
         Ok(Ok(stream)) => stream,
         Ok(Err(err)) => return Err(disconnected(format!("cannot connect: {err}"))),
-        Err(_) => return Err(timed_out("timed out while connecting")),
+        Err(_) => return Err(timed_out("no connection within the deadline")),
     };
     let (mut system, close_handle) = start_rpc(stream, Side::Client, None)
         .map_err(|err| disconnected(err.to_string()))?;
@@ -148,7 +148,7 @@
         }
         Err(_) => {
             close_handle.close();
-            return Err(timed_out("timed out during authentication"));
+            return Err(timed_out("no answer to the challenge within the deadline"));
         }
     };
     spawn_local(ping(shared.clone(), session.clone(), close_handle.clone()));
@@ -197,7 +197,7 @@
         .send()
         .promise
         .await
-        .map_err(|_| unauthenticated("the peer rejected the login"))?;
+        .map_err(|_| unauthenticated("the peer refused the challenge"))?;
     let session = response
         .get()
         .and_then(|login| login.get_session())
@@ -236,7 +236,7 @@
 }
 
 fn handshake_failed(err: capnp::Error) -> PeerFailure {
-    disconnected(format!("authentication did not finish: {err}"))
+    disconnected(format!("the challenge failed: {err}"))
 }
 
 fn disconnected(message: String) -> PeerFailure {
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -44,7 +44,8 @@
     pub kind: PeerFailureKind,
     /// Whether the other instance may have received any of the call or message.
     pub reached: Reached,
-    /// Description for logs. Contains no secrets.
+    /// Description for logs, and for the caller if a forwarded call fails before its response
+    /// begins. Contains no secrets.
     pub message: String,
 }
 
--- a/crates/peer/src/forward.rs
+++ b/crates/peer/src/forward.rs
@@ -45,7 +45,7 @@
 ) -> Result<ResponsePart, PeerFailure> {
     let connection = link.connection(shared).await?;
     if connection.incarnation != *to {
-        let text = format!("{} runs in place of {to}", connection.incarnation);
+        let text = format!("{} answers in place of {to}", connection.incarnation);
         return Err(PeerFailure::not_reached(PeerFailureKind::NotStarted, text));
     }
     let progress = Rc::new(Progress::new());
@@ -75,7 +75,7 @@
             return Err(PeerFailure::possibly_reached(PeerFailureKind::Disconnected, text));
         }
         () = progress.stalled(Duration::from_millis(shared.deadlines.progress_ms)) => {
-            let text = "no part of the response arrived within the progress timeout";
+            let text = "the answer made no progress within the deadline";
             return Err(PeerFailure::possibly_reached(PeerFailureKind::Timeout, text));
         }
     };
@@ -88,7 +88,7 @@
     match outcome.which().map_err(|err| rpc_failed(err.into()))? {
         outcome::Complete(()) => Ok(ResponsePart::Complete),
         outcome::Broken(()) => {
-            let text = "the peer ended the response early";
+            let text = "the peer broke the answer off";
             Err(PeerFailure::possibly_reached(PeerFailureKind::Broken, text))
         }
         outcome::NotStarted(text) => {
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -78,7 +78,7 @@
             return Err(failure);
         }
         let Some(address) = self.address.get() else {
-            let message = format!("the address of peer {} is unknown", self.name);
+            let message = format!("no address of peer {} is known", self.name);
             return Err(PeerFailure::not_reached(
                 PeerFailureKind::UnknownPeer,
                 message,
