--- a/crates/peer/src/acceptor.rs
+++ b/crates/peer/src/acceptor.rs
@@ -42,6 +42,7 @@
     }
 }
 
+/// Runs one accepted connection until it ends.
 async fn serve(shared: Rc<Shared>, stream: TcpStream) {
     shared.accepted_count.set(shared.accepted_count.get() + 1);
     let state = Rc::new(AcceptedState {
--- a/crates/peer/src/auth.rs
+++ b/crates/peer/src/auth.rs
@@ -9,6 +9,7 @@
 
 use subtle::ConstantTimeEq;
 
+/// Context of the key derivation. Instances with different contexts reject each other.
 const KEY_CONTEXT: &str = "jayreel 2026 peer authentication";
 
 /// Length of a nonce. The peer rejects any other.
--- a/crates/peer/src/network.rs
+++ b/crates/peer/src/network.rs
@@ -141,6 +141,7 @@
     }
 }
 
+/// Body of the network thread. Returns once the event loop has ended.
 fn run_thread(
     runtime: &Runtime,
     config: PeerConfig,
@@ -164,6 +165,7 @@
     }
 }
 
+/// Runs the event loop. Fails if Tokio cannot register the listener.
 async fn serve(
     shared: Rc<Shared>,
     listener: TcpListener,
