--- a/crates/core/src/instance/from_settings.rs
+++ b/crates/core/src/instance/from_settings.rs
@@ -7,7 +7,7 @@
 use eyre::WrapErr;
 use jayreel_fleet::{FleetSettings, Reducer, RegisteredInstance};
 use jayreel_model::{Incarnation, KeyHash};
-use jayreel_peer::{FleetSecret, PeerEvent, PeerConfig, PeerDeadlines, TcpPeerNetwork};
+use jayreel_peer::{FleetSecret, PeerConfig, PeerDeadlines, PeerEvent, TcpPeerNetwork};
 use jayreel_programs::TokenKey;
 use jayreel_scheduler::settings::{FairnessKind, OrderKind, PlacementKind};
 use jayreel_scheduler::{PolicySettings, SchedulerSettings};
--- a/crates/core/src/peer_link/receiver.rs
+++ b/crates/core/src/peer_link/receiver.rs
@@ -6,7 +6,7 @@
 use crossbeam::channel::{Receiver, Sender};
 use eyre::WrapErr;
 use jayreel_fleet::{FleetEvent, Input};
-use jayreel_peer::{PeerEvent, MessageBody, PeerFailureKind};
+use jayreel_peer::{MessageBody, PeerEvent, PeerFailureKind};
 use jayreel_scheduler::Event;
 use jayreel_store::ConfigurationFeed;
 
@@ -74,7 +74,7 @@
                 id,
                 from,
                 call,
-                answer,
+                response: answer,
             } => {
                 let now_ms = self.clock.now_ms();
                 match take_forwarded(id, &call, answer, &self.calls, now_ms) {
--- a/crates/core/src/shell/forward.rs
+++ b/crates/core/src/shell/forward.rs
@@ -7,8 +7,8 @@
 use jayreel_fleet::Input;
 use jayreel_model::{Incarnation, Ran, Refusal, RefusalReason, RequestId};
 use jayreel_peer::{
-    ResponseHead, ResponsePart, ResponseSender, ForwardId, ForwardedCall, PeerFailure,
-    PeerNetwork, Reached,
+    ForwardId, ForwardedCall, PeerFailure, PeerNetwork, Reached, ResponseHead,
+    ResponsePart, ResponseSender,
 };
 use jayreel_scheduler::Event;
 use jayreel_scheduler::event::{CallArrived, CallOperation};
@@ -238,7 +238,11 @@
 
 impl Passing<'_> {
     /// Passes one part on. Returns the responder if more parts may follow.
-    fn pass(&mut self, part: ResponsePart, mut responder: Responder) -> Option<Responder> {
+    fn pass(
+        &mut self,
+        part: ResponsePart,
+        mut responder: Responder,
+    ) -> Option<Responder> {
         let sent = match part {
             ResponsePart::Head(head) => {
                 self.begun = true;
