--- a/crates/core/src/admin/mod.rs
+++ b/crates/core/src/admin/mod.rs
@@ -15,7 +15,7 @@
 use jayreel_store::registration::INSTANCES_PREFIX;
 use jayreel_store::{
     ConfigurationEditor, ConfigurationFeed, EditError, Store, Versioned,
-    forget_registration, home_record,
+    home_weights_record, remove_registration,
 };
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -175,7 +175,7 @@
         let customer = body["customer"].as_str().ok_or_else(|| {
             AdminError::new(AdminErrorKind::Invalid, "the body must name a customer")
         })?;
-        let given = self.editor.give_key(customer).map_err(edit_error)?;
+        let given = self.editor.create_key(customer).map_err(edit_error)?;
         let (unconfirmed, _) = self.unconfirmed(given.accepted.revision, None);
         let body = json!({
             "customer": customer,
@@ -221,7 +221,7 @@
     /// States that a process is dead: its registration and its share go.
     fn forget_instance(&self, name: &str) -> Result<AdminAnswer, AdminError> {
         self.delete_registration(name)?;
-        let result = home_record::<HomeRecord>(&self.store)
+        let result = home_weights_record::<HomeRecord>(&self.store)
             .update(|record| record.and_then(|record| record.forget(name)));
         match result {
             Ok(_) => Ok(answer(200, None, &json!({ "forgotten": name }))),
@@ -239,7 +239,7 @@
         match entry {
             None => Ok(()),
             Some(entry) => {
-                forget_registration(store, name, entry.mod_revision).map_err(store_error)
+                remove_registration(store, name, entry.mod_revision).map_err(store_error)
             }
         }
     }
--- a/crates/core/src/dev.rs
+++ b/crates/core/src/dev.rs
@@ -12,7 +12,7 @@
 use clap::ArgMatches;
 use eyre::{WrapErr, bail};
 use jayreel_model::KeyHash;
-use jayreel_settings::{LowSettings, Settings};
+use jayreel_settings::{RawSettings, Settings};
 use jayreel_standin::{Engine, EngineSettings, PlainService, ServiceSettings};
 use jayreel_store::{MemoryStore, Store, Transaction, Write};
 use serde_json::{Value, json};
@@ -35,7 +35,7 @@
 pub(crate) fn run(matches: &ArgMatches) -> eyre::Result<ExitCode> {
     let text =
         SETTINGS.replace("ADMIN_KEY_HASH", &KeyHash::of_key(ADMIN_KEY).to_string());
-    let settings = Settings::from_low(LowSettings::parse("dev.ini", &text)?)?;
+    let settings = Settings::from_raw(RawSettings::parse("dev.ini", &text)?)?;
     logging::start(&settings.log, &settings.instance.name)?;
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let engine = Engine::start(any_port, EngineSettings::default())
--- a/crates/core/src/peer_link/snapshots.rs
+++ b/crates/core/src/peer_link/snapshots.rs
@@ -62,7 +62,7 @@
     pub(super) fn note_heartbeat(&self, from: &str, heartbeat: &Heartbeat) {
         let age_ms = heartbeat.store_contact_age_ms;
         let revision = heartbeat.config_revision;
-        let behind = self.feed.note_peer(revision, age_ms);
+        let behind = self.feed.note_peer_revision(revision, age_ms);
         let contact_at_ms =
             age_ms.map(|age_ms| self.clock.now_ms().saturating_sub(age_ms));
         if let Some(contact_at_ms) = contact_at_ms {
@@ -125,7 +125,7 @@
         if configuration.revision <= newer_than_revision {
             return;
         }
-        let keys = self.feed.withdrawn_ahead();
+        let keys = self.feed.withdrawn_without_record();
         if !keys.is_empty() {
             self.sender.send_body(to, MessageBody::Withdrawals { keys });
         }
--- a/crates/core/src/store_link/reader.rs
+++ b/crates/core/src/store_link/reader.rs
@@ -11,7 +11,9 @@
 use jayreel_model::Incarnation;
 use jayreel_quota::home_weights::HomeRecord;
 use jayreel_scheduler::Event;
-use jayreel_store::{ConfigurationFeed, Registration, home_record, registrations};
+use jayreel_store::{
+    ConfigurationFeed, Registration, home_weights_record, registrations,
+};
 
 use crate::peer_link::PeerSender;
 use crate::shell::ShellEvent;
@@ -144,7 +146,7 @@
 /// Reads the home weights.
 pub(super) fn read_home(context: &Context) {
     let sent_at_ms = context.clock.now_ms();
-    match home_record::<HomeRecord>(&context.store).read() {
+    match home_weights_record::<HomeRecord>(&context.store).read() {
         Ok(found) => {
             let version = found.as_ref().map_or(0, |found| found.version);
             let record = found.map(|found| found.value).unwrap_or_default();
--- a/crates/settings/src/high.rs
+++ b/crates/settings/src/high.rs
@@ -6,7 +6,7 @@
 use jayreel_model::KeyHash;
 
 use crate::error::SettingsError;
-use crate::low::LowSettings;
+use crate::low::RawSettings;
 use crate::reader::Reader;
 use crate::sections;
 
@@ -163,7 +163,7 @@
     ///
     /// All faults of the file.
     pub fn read(path: &Path) -> Result<Settings, SettingsError> {
-        Settings::from_low(LowSettings::read(path)?)
+        Settings::from_raw(RawSettings::read(path)?)
     }
 
     /// Checks raw settings.
@@ -171,7 +171,7 @@
     /// # Errors
     ///
     /// All faults.
-    pub fn from_low(low: LowSettings) -> Result<Settings, SettingsError> {
+    pub fn from_raw(low: RawSettings) -> Result<Settings, SettingsError> {
         let mut reader = Reader::new(low);
         let settings = Settings {
             instance: sections::instance(&mut reader),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,6 @@
 //! Settings of an instance, from an INI file.
 //!
-//! Reading happens in two levels. [`LowSettings`] holds the raw text of each key.
+//! Reading happens in two levels. [`RawSettings`] holds the raw text of each key.
 //! [`Settings`] holds values that are checked and ready to use; nothing reads a raw key
 //! after it is built. All faults of a file are reported together, each with file, section
 //! and key.
@@ -16,4 +16,4 @@
     AdminSettings, CallerSettings, EndpointSettings, InstanceSettings, LogSettings,
     PeerSettings, PlatformSettings, PolicySettings, QuotaSettings, Settings,
 };
-pub use crate::low::LowSettings;
+pub use crate::low::RawSettings;
--- a/crates/settings/src/low.rs
+++ b/crates/settings/src/low.rs
@@ -9,24 +9,24 @@
 
 /// The text of each key, by section. Nothing is checked beyond the INI syntax.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct LowSettings {
+pub struct RawSettings {
     /// The file as given by the user, for messages.
     pub file: String,
     /// Section name to key to text. Keys before the first section have an empty section.
     pub sections: BTreeMap<String, BTreeMap<String, String>>,
 }
 
-impl LowSettings {
+impl RawSettings {
     /// Reads a file.
     ///
     /// # Errors
     ///
     /// One fault if the file cannot be read or is not an INI file.
-    pub fn read(path: &Path) -> Result<LowSettings, SettingsError> {
+    pub fn read(path: &Path) -> Result<RawSettings, SettingsError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
             .map_err(|error| whole_file(&file, format!("cannot be read: {error}")))?;
-        LowSettings::parse(&file, &text)
+        RawSettings::parse(&file, &text)
     }
 
     /// Parses text. `file` names its source in messages.
@@ -34,10 +34,10 @@
     /// # Errors
     ///
     /// One fault if the text is not in INI form or names a key twice.
-    pub fn parse(file: &str, text: &str) -> Result<LowSettings, SettingsError> {
+    pub fn parse(file: &str, text: &str) -> Result<RawSettings, SettingsError> {
         let ini = Ini::load_from_str_noescape(text)
             .map_err(|error| whole_file(file, format!("is not in INI form: {error}")))?;
-        let mut low = LowSettings {
+        let mut low = RawSettings {
             file: file.to_string(),
             sections: BTreeMap::new(),
         };
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,20 +1,20 @@
-//! Takes checked values out of [`LowSettings`] and collects faults.
+//! Takes checked values out of [`RawSettings`] and collects faults.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::str::FromStr;
 
 use crate::error::{Fault, SettingsError};
-use crate::low::LowSettings;
+use crate::low::RawSettings;
 
 /// Reads each known key once. What is left at the end is unknown.
 pub(crate) struct Reader {
-    low: LowSettings,
+    low: RawSettings,
     faults: Vec<Fault>,
 }
 
 impl Reader {
-    pub(crate) fn new(low: LowSettings) -> Reader {
+    pub(crate) fn new(low: RawSettings) -> Reader {
         Reader {
             low,
             faults: Vec::new(),
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Tests of the settings file.
 
-use jayreel_settings::{LowSettings, Settings};
+use jayreel_settings::{RawSettings, Settings};
 use test_case::test_case;
 
 const COMPLETE: &str = "
@@ -20,8 +20,8 @@
 ";
 
 fn check(text: &str) -> Result<Settings, String> {
-    let low = LowSettings::parse("test.ini", text).map_err(|e| e.to_string())?;
-    Settings::from_low(low).map_err(|e| e.to_string())
+    let low = RawSettings::parse("test.ini", text).map_err(|e| e.to_string())?;
+    Settings::from_raw(low).map_err(|e| e.to_string())
 }
 
 #[test]
--- a/crates/spec/src/configuration_resolve.rs
+++ b/crates/spec/src/configuration_resolve.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use jayreel_store::configuration::Verdict;
+use jayreel_store::configuration::EditOutcome;
 use jayreel_store::configuration::change;
 use jayreel_store::{Transaction, Write};
 
@@ -50,10 +50,10 @@
             return Report::NotAccepted;
         }
         let marker = self.operators[index].last().id.marker_key();
-        match change::verdict(self.store.get(&marker)) {
-            Verdict::Accepted { .. } => Report::Accepted,
-            Verdict::NotAccepted => Report::NotAccepted,
-            Verdict::Unknown => Report::Unknown,
+        match change::read_outcome(self.store.get(&marker)) {
+            EditOutcome::Accepted { .. } => Report::Accepted,
+            EditOutcome::NotAccepted => Report::NotAccepted,
+            EditOutcome::Unknown => Report::Unknown,
         }
     }
 
--- a/crates/store/src/configuration/change.rs
+++ b/crates/store/src/configuration/change.rs
@@ -42,7 +42,7 @@
 
 /// What a marker says about its change.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum Verdict {
+pub enum EditOutcome {
     /// The change was made in this revision.
     Accepted {
         /// The revision of the change.
@@ -93,7 +93,7 @@
 }
 
 /// Adds the marker to a change, so that its outcome can be learned after a lost answer.
-pub fn marked(mut change: Transaction, id: &EditId, lease: LeaseId) -> Transaction {
+pub fn with_marker(mut change: Transaction, id: &EditId, lease: LeaseId) -> Transaction {
     change.conditions.push(marker_is_new(id));
     change.writes.push(put_marker(id, lease, APPLIED));
     change
@@ -108,12 +108,12 @@
 }
 
 /// Reads the marker.
-pub fn verdict(marker: Option<&Entry>) -> Verdict {
+pub fn read_outcome(marker: Option<&Entry>) -> EditOutcome {
     match marker {
-        Some(entry) if entry.value == APPLIED => Verdict::Accepted {
+        Some(entry) if entry.value == APPLIED => EditOutcome::Accepted {
             revision: entry.mod_revision,
         },
-        Some(entry) if entry.value == CANCELLED => Verdict::NotAccepted,
-        _ => Verdict::Unknown,
+        Some(entry) if entry.value == CANCELLED => EditOutcome::NotAccepted,
+        _ => EditOutcome::Unknown,
     }
 }
--- a/crates/store/src/configuration/editor.rs
+++ b/crates/store/src/configuration/editor.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crate::Store;
-use crate::configuration::change::{self, EditId, MARKER_TTL_S, Verdict};
+use crate::configuration::change::{self, EditId, EditOutcome, MARKER_TTL_S};
 use crate::configuration::layout::{ConfigRecord, kind_prefix, record_key};
 use crate::configuration::validate::{Editable, check_name};
 use crate::error::StoreError;
@@ -211,7 +211,7 @@
     ) -> Result<Accepted, EditError> {
         let lease = self.store.grant_lease(MARKER_TTL_S).map_err(not_changed)?;
         let id = EditId::random();
-        let result = self.store.commit(change::marked(change, &id, lease));
+        let result = self.store.commit(change::with_marker(change, &id, lease));
         match result {
             Ok(commit) if commit.succeeded => Ok(Accepted {
                 revision: commit.revision,
@@ -229,15 +229,15 @@
     fn resolve(&self, id: &EditId, lease: LeaseId) -> Result<Accepted, EditError> {
         for _ in 0..self.settings.resolve_attempts {
             match self.try_resolve(id, lease) {
-                Ok(Verdict::Accepted { revision }) => {
+                Ok(EditOutcome::Accepted { revision }) => {
                     let changed = true;
                     return Ok(Accepted { revision, changed });
                 }
-                Ok(Verdict::NotAccepted) => {
+                Ok(EditOutcome::NotAccepted) => {
                     let why = "the store lost the change";
                     return Err(EditError::Store(why.into()));
                 }
-                Ok(Verdict::Unknown) | Err(_) => {
+                Ok(EditOutcome::Unknown) | Err(_) => {
                     let pause = Duration::from_millis(self.settings.resolve_pause_ms);
                     thread::sleep(pause);
                 }
@@ -246,12 +246,16 @@
         Err(EditError::Unknown("the store does not answer".into()))
     }
 
-    fn try_resolve(&self, id: &EditId, lease: LeaseId) -> Result<Verdict, StoreError> {
+    fn try_resolve(
+        &self,
+        id: &EditId,
+        lease: LeaseId,
+    ) -> Result<EditOutcome, StoreError> {
         let cancelled = self.store.commit(change::cancel(id, lease))?;
         if cancelled.succeeded {
-            return Ok(Verdict::NotAccepted);
+            return Ok(EditOutcome::NotAccepted);
         }
         let marker = self.store.get(&id.marker_key())?;
-        Ok(change::verdict(marker.as_ref()))
+        Ok(change::read_outcome(marker.as_ref()))
     }
 }
--- a/crates/store/src/configuration/entities.rs
+++ b/crates/store/src/configuration/entities.rs
@@ -66,7 +66,7 @@
     ///
     /// See [`EditError`]. After [`EditError::Unknown`] a key may exist that nobody
     /// knows.
-    pub fn give_key(&self, customer: &str) -> Result<GivenKey, EditError> {
+    pub fn create_key(&self, customer: &str) -> Result<GivenKey, EditError> {
         let owner: Versioned<Customer> = self.read(customer)?;
         let secret: [u8; KEY_BYTES] = rand::random();
         let key = format!("{KEY_START}{}", URL_SAFE_NO_PAD.encode(secret));
--- a/crates/store/src/configuration/feed.rs
+++ b/crates/store/src/configuration/feed.rs
@@ -156,13 +156,13 @@
     ) -> bool {
         let revision = configuration.revision;
         let changed = self.shared.offer(configuration);
-        self.note_peer(revision, contact_age_ms);
+        self.note_peer_revision(revision, contact_age_ms);
         changed
     }
 
     /// Takes the revision and contact age that a peer told in a heartbeat. If the peer
     /// is ahead, the store is asked at once, and true is returned: its snapshot helps.
-    pub fn note_peer(&self, revision: u64, contact_age_ms: Option<u64>) -> bool {
+    pub fn note_peer_revision(&self, revision: u64, contact_age_ms: Option<u64>) -> bool {
         let behind = self.shared.is_behind(revision);
         if behind {
             self.shared.behind.store(true, Ordering::SeqCst);
@@ -182,8 +182,8 @@
 
     /// Keys that are withdrawn but have no record in the copy, so that the copy alone does
     /// not tell of their withdrawal.
-    pub fn withdrawn_ahead(&self) -> Vec<KeyHash> {
-        self.shared.lock().withdrawn_ahead()
+    pub fn withdrawn_without_record(&self) -> Vec<KeyHash> {
+        self.shared.lock().withdrawn_without_record()
     }
 
     /// Ends the watch and waits for the thread, at most one store deadline long.
--- a/crates/store/src/configuration/mod.rs
+++ b/crates/store/src/configuration/mod.rs
@@ -13,7 +13,7 @@
 pub mod state;
 pub mod validate;
 
-pub use crate::configuration::change::{EditId, Verdict};
+pub use crate::configuration::change::{EditId, EditOutcome};
 pub use crate::configuration::editor::{
     Accepted, ConfigurationEditor, EditError, EditorSettings,
 };
--- a/crates/store/src/configuration/state.rs
+++ b/crates/store/src/configuration/state.rs
@@ -82,7 +82,7 @@
     }
 
     /// Keys that are withdrawn but have no record in the copy.
-    pub fn withdrawn_ahead(&self) -> Vec<KeyHash> {
+    pub fn withdrawn_without_record(&self) -> Vec<KeyHash> {
         let shows = |hash: &KeyHash| {
             let current = self.current.as_ref();
             current.is_some_and(|current| current.keys.contains_key(hash))
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -27,10 +27,11 @@
     Change, Commit, Condition, Entry, LeaseId, Range, Transaction, Write,
 };
 pub use crate::registration::{
-    Registered, Registration, RegistrationSettings, forget_registration, registrations,
+    Registered, Registration, RegistrationSettings, registrations, remove_registration,
 };
 pub use crate::typed::{
-    Claim, Record, RecordError, Versioned, budget_record, home_record, takeover_record,
+    Claim, Record, RecordError, Versioned, budget_record, home_weights_record,
+    takeover_record,
 };
 
 use std::time::Duration;
--- a/crates/store/src/registration.rs
+++ b/crates/store/src/registration.rs
@@ -300,7 +300,7 @@
 /// # Errors
 ///
 /// [`RecordError::Conflict`] if the record changed or is gone.
-pub fn forget_registration(
+pub fn remove_registration(
     store: &dyn Store,
     name: &str,
     version: u64,
--- a/crates/store/src/typed.rs
+++ b/crates/store/src/typed.rs
@@ -80,7 +80,9 @@
 }
 
 /// The record with the home weights of all instances.
-pub fn home_record<T: DeserializeOwned + Serialize>(store: &Arc<dyn Store>) -> Record<T> {
+pub fn home_weights_record<T: DeserializeOwned + Serialize>(
+    store: &Arc<dyn Store>,
+) -> Record<T> {
     Record::new(store, "quota/home".into())
 }
 
--- a/crates/store/tests/editor.rs
+++ b/crates/store/tests/editor.rs
@@ -196,13 +196,13 @@
 fn key_is_shown_once_and_stored_as_hash() {
     let store = MemoryStore::new();
     let editor = editor(store.clone());
-    let missing = editor.give_key("acme");
+    let missing = editor.create_key("acme");
     assert!(
         matches!(missing, Err(EditError::NotFound(_))),
         "{missing:?}"
     );
     editor.create("acme", &customer()).unwrap();
-    let given = editor.give_key("acme").unwrap();
+    let given = editor.create_key("acme").unwrap();
     assert_eq!(KeyHash::of_key(&given.key), given.hash);
     assert!(!format!("{given:?}").contains(&given.key));
     for entry in store.range("").unwrap().entries {
@@ -218,7 +218,7 @@
 fn withdrawal_is_final() {
     let editor = editor(MemoryStore::new());
     editor.create("acme", &customer()).unwrap();
-    let hash = editor.give_key("acme").unwrap().hash;
+    let hash = editor.create_key("acme").unwrap().hash;
     let first = editor.withdraw_key(hash).unwrap();
     let again = editor.withdraw_key(hash).unwrap();
     assert!(first.changed && !again.changed);
--- a/crates/store/tests/feed.rs
+++ b/crates/store/tests/feed.rs
@@ -200,9 +200,9 @@
     let feed = feed(&gateway, HOUR_MS);
     silence_watch(&gateway, &feed, "first");
     let accepted = editor(&gateway).create("acme", &customer()).unwrap();
-    assert!(feed.note_peer(accepted.revision, None));
+    assert!(feed.note_peer_revision(accepted.revision, None));
     wait_for_customer(&feed, "acme");
-    assert!(!feed.note_peer(accepted.revision, None));
+    assert!(!feed.note_peer_revision(accepted.revision, None));
     feed.close();
     gateway.close();
 }
@@ -230,10 +230,10 @@
     let mut state = FeedState::new();
     state.withdraw(KeyHash::of_key("k"));
     state.withdraw(KeyHash::of_key("newer"));
-    let hidden = state.withdrawn_ahead();
+    let hidden = state.withdrawn_without_record();
     assert_eq!(hidden.len(), 2, "without a copy: {hidden:?}");
     state.offer(at_revision(5, false)).unwrap();
-    assert_eq!(state.withdrawn_ahead(), [KeyHash::of_key("newer")]);
+    assert_eq!(state.withdrawn_without_record(), [KeyHash::of_key("newer")]);
 }
 
 /// Guards against peers that keep an old copy fresh without contact to the store.
--- a/crates/store/tests/registration.rs
+++ b/crates/store/tests/registration.rs
@@ -8,7 +8,7 @@
 use jayreel_standin::{Faults, StoreGateway};
 use jayreel_store::{
     EtcdSettings, EtcdStore, ManualClock, MemoryStore, Registration,
-    RegistrationSettings, Store, SystemClock, forget_registration, registrations,
+    RegistrationSettings, Store, SystemClock, registrations, remove_registration,
 };
 
 const GENEROUS: Duration = Duration::from_secs(30);
@@ -100,7 +100,7 @@
     let version = registrations::<String>(gateway.store()).unwrap()[0]
         .record
         .version;
-    forget_registration(gateway.store(), "i1", version).unwrap();
+    remove_registration(gateway.store(), "i1", version).unwrap();
     wait_until("the return", || is_listed(&gateway));
     registration.close();
     gateway.close();
--- a/crates/store/tests/typed.rs
+++ b/crates/store/tests/typed.rs
@@ -8,8 +8,8 @@
 use jayreel_model::Incarnation;
 use jayreel_standin::{Faults, StoreGateway};
 use jayreel_store::{
-    Claim, EtcdSettings, EtcdStore, MemoryStore, Record, RecordError, Store, home_record,
-    takeover_record,
+    Claim, EtcdSettings, EtcdStore, MemoryStore, Record, RecordError, Store,
+    home_weights_record, takeover_record,
 };
 use test_case::test_case;
 
@@ -29,7 +29,7 @@
 /// Guards against a write over a version that the writer has not seen.
 #[test]
 fn write_with_old_version_is_a_conflict() {
-    let record: Record<Weights> = home_record(&memory());
+    let record: Record<Weights> = home_weights_record(&memory());
     assert_eq!(record.read(), Ok(None));
     let weights: Weights = [("i1".to_string(), 1_000_000)].into();
     let version = record.write(&weights, 0).unwrap();
@@ -44,7 +44,7 @@
     let store = memory();
     thread::scope(|scope| {
         for writer in 0..4 {
-            let record: Record<Weights> = home_record(&store);
+            let record: Record<Weights> = home_weights_record(&store);
             scope.spawn(move || {
                 for step in 0..5 {
                     let add = |old: Option<&Weights>| {
@@ -57,7 +57,7 @@
             });
         }
     });
-    let weights: Record<Weights> = home_record(&store);
+    let weights: Record<Weights> = home_weights_record(&store);
     assert_eq!(weights.read().unwrap().unwrap().value.len(), 20);
 }
 
