--- a/crates/store/src/clock.rs
+++ b/crates/store/src/clock.rs
@@ -1,22 +1,23 @@
-//! Time as seen by the store crate: milliseconds of a monotonic clock.
+//! The monotonic clock that leases, polls and renewals are timed with, replaceable in
+//! tests.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
 /// A monotonic clock. Its zero point is arbitrary and differs between processes.
 pub trait Clock: Send + Sync {
-    /// Milliseconds since the zero point.
+    /// Milliseconds since the zero point. Never decreases.
     fn now_ms(&self) -> u64;
 }
 
-/// The clock of the operating system, starting at zero on creation.
+/// The monotonic clock of the operating system, with its zero point at creation.
 #[derive(Clone, Copy, Debug)]
 pub struct SystemClock {
     start: Instant,
 }
 
 impl SystemClock {
-    /// A clock that starts now.
+    /// A clock whose zero point is now.
     pub fn new() -> SystemClock {
         SystemClock {
             start: Instant::now(),
@@ -36,14 +37,14 @@
     }
 }
 
-/// A clock that moves only when told to, for tests and simulations.
+/// A clock that advances only by [`ManualClock::advance`], for tests and simulations.
 #[derive(Debug, Default)]
 pub struct ManualClock {
     now_ms: AtomicU64,
 }
 
 impl ManualClock {
-    /// Moves the clock forward by `step_ms` milliseconds.
+    /// Moves the clock forward by `step_ms` milliseconds, for all who share it.
     pub fn advance(&self, step_ms: u64) {
         self.now_ms.fetch_add(step_ms, Ordering::SeqCst);
     }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,20 +1,26 @@
-//! Errors of the store.
+//! Errors of store calls, which tell whether a change may have been made.
 
 use std::fmt;
 
 /// Why a store call failed.
+///
+/// The `Display` text reaches operators in responses of the administration API, as part
+/// of an `EditError`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[non_exhaustive]
 pub enum StoreError {
-    /// The revision asked for is no longer kept.
+    /// The watch starts at a revision whose changes a compaction has discarded.
     Compacted,
-    /// The answer was lost: the change may or may not have taken effect.
+    /// The request was sent, but no usable response arrived: the change may have been
+    /// made, or may still be.
     OutcomeUnknown(String),
-    /// The store answered with something that this client does not understand.
+    /// The store responded with something that this client cannot decode.
     Protocol(String),
-    /// The store refused the request. A change was certainly not made.
+    /// The store, or a check before sending, rejected the request. A change was certainly
+    /// not made.
     Rejected(String),
-    /// The store gave no answer. A change was certainly not made.
+    /// The store could not be reached, did not respond in time or refused to serve the
+    /// request now. A change was certainly not made.
     Unavailable(String),
 }
 
--- a/crates/store/src/keyspace.rs
+++ b/crates/store/src/keyspace.rs
@@ -1,5 +1,8 @@
-//! The data model of the store without I/O or clock: keys, revisions, leases and the log
-//! of changes that watches read.
+//! The data model of etcd without I/O or clock: keys, revisions, leases and the log of
+//! changes that watches read.
+//!
+//! [`MemoryStore`](crate::MemoryStore) adds a lock and a clock; the model checker of the
+//! configuration protocol uses it directly.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,19 +23,22 @@
 /// Every method that depends on time takes `now_ms`, milliseconds of the caller's clock.
 ///
 /// Invariants: `revision` never decreases; every entry's `mod_revision` is at most
-/// `revision`; a key is listed by a lease exactly if its entry names that lease.
+/// `revision`; a lease lists a key if and only if the key's entry names that lease.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Keyspace {
     revision: u64,
+    /// Changes up to this revision, inclusive, are discarded from `log`.
     compacted: u64,
     entries: BTreeMap<String, Entry>,
     leases: BTreeMap<LeaseId, Lease>,
+    /// The id of the newest lease, so that ids are not reused.
     last_lease: i64,
+    /// The changes of each revision after `compacted`.
     log: BTreeMap<u64, Vec<Change>>,
 }
 
 impl Keyspace {
-    /// An empty store at revision 1, as a new etcd store reports it.
+    /// An empty keyspace at revision 1, which a new etcd cluster reports too.
     pub fn new() -> Keyspace {
         Keyspace {
             revision: 1,
@@ -45,33 +51,37 @@
         self.revision
     }
 
-    /// The newest revision that watches can no longer start from.
+    /// The highest revision that watches can no longer start from, 0 if there is none.
     pub fn compacted(&self) -> u64 {
         self.compacted
     }
 
-    /// Reads one key.
+    /// The entry of one key, `None` if the key does not exist.
     pub fn get(&self, key: &str) -> Option<&Entry> {
         self.entries.get(key)
     }
 
-    /// Reads the keys that start with `prefix`.
+    /// The entries whose keys start with `prefix`, and the current revision.
     pub fn range(&self, prefix: &str) -> Range {
         Range {
             revision: self.revision,
-            entries: self.entries_under(prefix).cloned().collect(),
+            entries: self.entries_with_prefix(prefix).cloned().collect(),
         }
     }
 
-    /// The newest `mod_revision` among the keys that start with `prefix`, else 0.
+    /// The highest `mod_revision` among the keys that start with `prefix`, or 0 if there
+    /// is no such key.
     pub fn newest_revision(&self, prefix: &str) -> u64 {
-        self.entries_under(prefix)
+        self.entries_with_prefix(prefix)
             .map(|entry| entry.mod_revision)
             .max()
             .unwrap_or(0)
     }
 
-    fn entries_under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Entry> {
+    fn entries_with_prefix<'a>(
+        &'a self,
+        prefix: &'a str,
+    ) -> impl Iterator<Item = &'a Entry> {
         self.entries
             .range(prefix.to_string()..)
             .take_while(move |(key, _)| key.starts_with(prefix))
@@ -83,16 +93,16 @@
     /// # Errors
     ///
     /// [`StoreError::Rejected`] if a write names a lease that does not exist. Nothing is
-    /// changed then.
+    /// written in that case.
     pub fn commit(&mut self, transaction: &Transaction) -> Result<Commit, StoreError> {
-        let holds = transaction.conditions.iter().all(|c| self.holds(c));
-        if !holds {
+        let all_hold = transaction.conditions.iter().all(|c| self.is_met(c));
+        if !all_hold {
             return Ok(Commit {
                 succeeded: false,
                 revision: self.revision,
             });
         }
-        self.check_leases(&transaction.writes)?;
+        self.check_leases_exist(&transaction.writes)?;
         self.apply(&transaction.writes);
         Ok(Commit {
             succeeded: true,
@@ -100,13 +110,13 @@
         })
     }
 
-    fn holds(&self, condition: &Condition) -> bool {
+    fn is_met(&self, condition: &Condition) -> bool {
         let Condition::ModRevision { key, revision } = condition;
         let current = self.entries.get(key).map_or(0, |entry| entry.mod_revision);
         current == *revision
     }
 
-    fn check_leases(&self, writes: &[Write]) -> Result<(), StoreError> {
+    fn check_leases_exist(&self, writes: &[Write]) -> Result<(), StoreError> {
         let missing = writes.iter().any(|write| match write {
             Write::Put {
                 lease: Some(lease), ..
@@ -123,7 +133,7 @@
         let next = self.revision + 1;
         let changes: Vec<Change> = writes
             .iter()
-            .filter_map(|write| self.apply_one(write, next))
+            .filter_map(|write| self.apply_write(write, next))
             .collect();
         if changes.is_empty() {
             return;
@@ -132,10 +142,10 @@
         self.log.insert(next, changes);
     }
 
-    fn apply_one(&mut self, write: &Write, revision: u64) -> Option<Change> {
+    fn apply_write(&mut self, write: &Write, revision: u64) -> Option<Change> {
         match write {
             Write::Delete { key } => {
-                self.detach(key);
+                self.detach_from_lease(key);
                 self.entries.remove(key)?;
                 Some(Change::Delete {
                     key: key.clone(),
@@ -143,34 +153,34 @@
                 })
             }
             Write::Put { key, value, lease } => {
-                self.detach(key);
+                self.detach_from_lease(key);
                 let entry = Entry {
                     key: key.clone(),
                     value: value.clone(),
                     mod_revision: revision,
                     lease: *lease,
                 };
-                self.attach(&entry);
+                self.attach_to_lease(&entry);
                 self.entries.insert(key.clone(), entry.clone());
                 Some(Change::Put(entry))
             }
         }
     }
 
-    fn detach(&mut self, key: &str) {
+    fn detach_from_lease(&mut self, key: &str) {
         let lease = self.entries.get(key).and_then(|entry| entry.lease);
         if let Some(lease) = lease.and_then(|id| self.leases.get_mut(&id)) {
             lease.keys.remove(key);
         }
     }
 
-    fn attach(&mut self, entry: &Entry) {
+    fn attach_to_lease(&mut self, entry: &Entry) {
         if let Some(lease) = entry.lease.and_then(|id| self.leases.get_mut(&id)) {
             lease.keys.insert(entry.key.clone());
         }
     }
 
-    /// Creates a lease of `ttl_s` seconds, at least one.
+    /// Creates a lease with a time to live of `ttl_s` seconds. 0 counts as 1.
     pub fn grant_lease(&mut self, ttl_s: u64, now_ms: u64) -> LeaseId {
         self.last_lease += 1;
         let id = LeaseId(self.last_lease);
@@ -184,14 +194,16 @@
         id
     }
 
-    /// Renews a lease and returns its term in seconds, or `None` if it does not exist.
+    /// Renews a lease and returns its time to live in seconds, or `None` if it does not
+    /// exist.
     pub fn renew_lease(&mut self, id: LeaseId, now_ms: u64) -> Option<u64> {
         let lease = self.leases.get_mut(&id)?;
         lease.expires_at_ms = now_ms + lease.ttl_ms;
         Some(lease.ttl_ms / 1_000)
     }
 
-    /// Ends a lease and deletes its keys in one revision. False if it does not exist.
+    /// Ends a lease and deletes the keys attached to it in one revision. Returns false if
+    /// the lease does not exist.
     pub fn revoke_lease(&mut self, id: LeaseId) -> bool {
         let Some(lease) = self.leases.remove(&id) else {
             return false;
@@ -205,7 +217,8 @@
         true
     }
 
-    /// Ends all leases whose term is over.
+    /// Ends the leases that were not renewed within their time to live, each in a revision
+    /// of its own.
     pub fn expire_leases(&mut self, now_ms: u64) {
         let expired: Vec<LeaseId> = self
             .leases
@@ -218,11 +231,11 @@
         }
     }
 
-    /// The changes under `prefix` from revision `from` on, inclusive.
+    /// The changes of keys under `prefix` made at revision `from` or later, in order.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Compacted`] if changes from that revision on are no longer kept.
+    /// [`StoreError::Compacted`] if the changes of revision `from` are discarded.
     pub fn changes(&self, prefix: &str, from: u64) -> Result<Vec<Change>, StoreError> {
         if from <= self.compacted {
             return Err(StoreError::Compacted);
@@ -237,7 +250,8 @@
         Ok(changes)
     }
 
-    /// Forgets the changes up to revision `revision`, inclusive. Entries stay.
+    /// Discards the changes up to `revision`, inclusive, from the log that watches read.
+    /// Entries stay.
     pub fn compact(&mut self, revision: u64) {
         let revision = revision.min(self.revision);
         self.compacted = self.compacted.max(revision);
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -1,4 +1,4 @@
-//! The store in process, for tests, simulations and the `dev` mode.
+//! A store within the process, for tests, simulations and the `dev` mode.
 
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -9,7 +9,7 @@
 use crate::record::{Change, Commit, Entry, LeaseId, Range, Transaction};
 use crate::{Store, Watch};
 
-/// A waiting watch looks at the clock this often, so that leases expire during the wait.
+/// How often a waiting watch reads the clock, so that leases expire during the wait.
 const CLOCK_CHECK_MS: u64 = 20;
 
 struct Shared {
@@ -19,7 +19,8 @@
 }
 
 impl Shared {
-    /// Locks the keyspace after ending the leases whose term is over.
+    /// Locks the keyspace and first ends the leases that have expired, so that every
+    /// operation sees them gone.
     fn lock(&self) -> MutexGuard<'_, Keyspace> {
         let mut keyspace = self.keyspace.lock().unwrap_or_else(PoisonError::into_inner);
         let before = keyspace.revision();
@@ -31,19 +32,21 @@
     }
 }
 
-/// The store in process. Clones share one state.
+/// A store within the process. Clones share one keyspace.
 #[derive(Clone)]
 pub struct MemoryStore {
     shared: Arc<Shared>,
 }
 
 impl MemoryStore {
-    /// An empty store with the clock of the operating system.
+    /// An empty store whose leases expire by the clock of the operating system.
     pub fn new() -> MemoryStore {
         MemoryStore::with_clock(Arc::new(SystemClock::new()))
     }
 
-    /// An empty store whose leases expire by `clock`.
+    /// An empty store whose leases expire by `clock`, such as a [`ManualClock`] in tests.
+    ///
+    /// [`ManualClock`]: crate::ManualClock
     pub fn with_clock(clock: Arc<dyn Clock>) -> MemoryStore {
         MemoryStore {
             shared: Arc::new(Shared {
@@ -54,7 +57,8 @@
         }
     }
 
-    /// Runs `action` on the keyspace with the current time and wakes waiting watches.
+    /// Runs `action` on the locked keyspace with the current time in milliseconds, and
+    /// wakes the waiting watches if it changed or compacted anything.
     pub fn with<T>(&self, action: impl FnOnce(&mut Keyspace, u64) -> T) -> T {
         let now_ms = self.shared.clock.now_ms();
         let mut keyspace = self.shared.lock();
@@ -66,7 +70,8 @@
         result
     }
 
-    /// Forgets the changes up to `revision`, so that older watches end.
+    /// Discards the changes up to `revision`, inclusive. A watch that has not read them
+    /// yet fails with [`StoreError::Compacted`].
     pub fn compact(&self, revision: u64) {
         self.with(|keyspace, _| keyspace.compact(revision));
     }
@@ -126,6 +131,7 @@
 struct MemoryWatch {
     shared: Arc<Shared>,
     prefix: String,
+    /// The first revision that was not delivered yet.
     from_revision: u64,
 }
 
@@ -137,11 +143,11 @@
             let keyspace = shared.lock();
             let changes = keyspace.changes(&self.prefix, self.from_revision)?;
             self.from_revision = keyspace.revision() + 1;
-            let left = deadline.saturating_duration_since(Instant::now());
-            if !changes.is_empty() || left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if !changes.is_empty() || remaining.is_zero() {
                 return Ok(changes);
             }
-            let wait = left.min(Duration::from_millis(CLOCK_CHECK_MS));
+            let wait = remaining.min(Duration::from_millis(CLOCK_CHECK_MS));
             drop(shared.changed.wait_timeout(keyspace, wait));
         }
     }
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -1,39 +1,41 @@
-//! Keys, values and transactions of the store.
+//! Keys, values, changes and transactions, as all implementations of the store use them.
 
-/// Identifies a lease of the store.
+/// The id of a lease, assigned by the store. Never 0, which means "no lease" in etcd.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct LeaseId(pub i64);
 
-/// One key with its value.
+/// One key with its value, as of one revision.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Entry {
-    /// The key.
+    /// The full key, including any prefix.
     pub key: String,
     /// The value, at most 1 MB.
     pub value: Vec<u8>,
-    /// The revision of the last change of the key. Never 0.
+    /// The revision at which the key was last written. Never 0.
     pub mod_revision: u64,
-    /// The lease that the key is bound to.
+    /// The lease that deletes the key when it ends. `None` if the key is kept until it is
+    /// deleted.
     pub lease: Option<LeaseId>,
 }
 
-/// The result of a range read.
+/// All entries under a prefix at one revision.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Range {
-    /// The revision of the store at the time of the read.
+    /// The revision of the whole store at the read. A watch from the next revision on
+    /// misses nothing.
     pub revision: u64,
-    /// The entries in key order.
+    /// The entries, sorted by key.
     pub entries: Vec<Entry>,
 }
 
-/// One change seen by a watch.
+/// One change of a key, as a watch delivers it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// A key was created or changed.
+    /// A key was created or its value was replaced.
     Put(Entry),
-    /// A key was deleted at the revision.
+    /// A key was deleted, by a transaction or by the end of its lease.
     Delete {
-        /// The key.
+        /// The full key, including any prefix.
         key: String,
         /// The revision of the deletion.
         revision: u64,
@@ -41,7 +43,7 @@
 }
 
 impl Change {
-    /// The key that changed.
+    /// The full key that was written or deleted.
     pub fn key(&self) -> &str {
         match self {
             Change::Put(entry) => &entry.key,
@@ -49,7 +51,7 @@
         }
     }
 
-    /// The revision of the change.
+    /// The revision at which the key was written or deleted.
     pub fn revision(&self) -> u64 {
         match self {
             Change::Put(entry) => entry.mod_revision,
@@ -61,11 +63,11 @@
 /// A precondition of a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Condition {
-    /// The key's last change has this revision. 0 means that the key does not exist.
+    /// The key was last written at this revision. 0 means that the key does not exist.
     ModRevision {
-        /// The key.
+        /// The full key, including any prefix.
         key: String,
-        /// The expected revision.
+        /// The expected [`Entry::mod_revision`], or 0.
         revision: u64,
     },
 }
@@ -73,36 +75,38 @@
 /// One write of a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Write {
-    /// Deletes a key.
+    /// Deletes a key. Has no effect if it does not exist.
     Delete {
-        /// The key.
+        /// The full key, including any prefix.
         key: String,
     },
-    /// Creates or changes a key.
+    /// Creates a key or replaces its value and its lease.
     Put {
-        /// The key.
+        /// The full key, including any prefix.
         key: String,
         /// The new value, at most 1 MB.
         value: Vec<u8>,
-        /// The lease that the key ends with.
+        /// The lease that deletes the key when it ends. The commit fails if it does not
+        /// exist.
         lease: Option<LeaseId>,
     },
 }
 
-/// Writes that take effect together if all conditions hold.
+/// Writes that are applied together if all conditions hold.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Transaction {
-    /// All must hold.
+    /// Checked before the writes. If one does not hold, nothing is written.
     pub conditions: Vec<Condition>,
-    /// Applied in one revision.
+    /// Applied in one revision, so that readers see all of them or none.
     pub writes: Vec<Write>,
 }
 
-/// The outcome of a transaction that was answered.
+/// The outcome of a transaction to which the store responded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Commit {
-    /// Whether the conditions held and the writes were applied.
+    /// True if the conditions held and the writes were applied.
     pub succeeded: bool,
-    /// The store revision after the transaction.
+    /// The store revision after the transaction. If it succeeded and wrote anything, this
+    /// is the `mod_revision` of the keys that it put.
     pub revision: u64,
 }
--- a/crates/store/src/registration.rs
+++ b/crates/store/src/registration.rs
@@ -1,4 +1,7 @@
-//! Registration of an instance under a lease, and the list of registered instances.
+//! Registration of running instances, each as a record under a lease.
+//!
+//! Peers and operators find instances by these records. The lease removes the record of a
+//! process that dies without deleting it.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -15,23 +18,24 @@
 use crate::record::{Entry, LeaseId, Transaction, Write};
 use crate::typed::{RecordError, Versioned, delete_version};
 
-/// All registrations have keys that start with this.
+/// The store keys of all registrations start with this prefix.
 pub const INSTANCES_PREFIX: &str = "instances/";
 
-/// Longest wait before the thread looks at the clock and for a close.
-const STEP_MS: u64 = 50;
+/// How often the waiting thread checks the clock, new values and the request to close.
+const WAKE_INTERVAL_MS: u64 = 50;
 
-/// Never happened, in [`Shared::renewed_at_ms`].
+/// Value of [`Shared::renewed_at_ms`] before the first renewal.
 const NEVER: u64 = u64::MAX;
 
-/// Term and renewal of a registration.
+/// Time to live and renewal interval of a registration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RegistrationSettings {
-    /// Term of the lease, in seconds.
+    /// Time to live of the lease, in seconds. A dead instance stays registered this long.
     pub ttl_s: u64,
     /// How often the lease is renewed, in milliseconds.
     pub renew_interval_ms: u64,
-    /// Every so many renewals the record is read and, if need be, written again.
+    /// The record is read back on every n-th renewal, and written again if it is missing or
+    /// attached to another lease.
     pub check_every: u64,
 }
 
@@ -50,27 +54,30 @@
     clock: Arc<dyn Clock>,
     key: String,
     value: Mutex<Vec<u8>>,
-    /// The record must be written in the next round.
-    changed: AtomicBool,
-    /// The next round is due now.
-    announce: AtomicBool,
+    /// The next renewal writes the record, because its value is new or the last write
+    /// may have failed.
+    write_needed: AtomicBool,
+    /// The next renewal is made without waiting for its interval.
+    renew_now: AtomicBool,
     closed: AtomicBool,
+    /// When the last successful renewal was sent, or [`NEVER`].
     renewed_at_ms: AtomicU64,
 }
 
-/// Keeps the record `instances/NAME` in the store while the process lives.
+/// Keeps the record `instances/NAME` in the store until it is closed, on a thread of its
+/// own.
 pub struct Registration {
     shared: Arc<Shared>,
     thread: JoinHandle<()>,
 }
 
 impl Registration {
-    /// Registers `name` with `value` as soon as the store answers, and again whenever
-    /// the lease was lost.
+    /// Starts a thread that registers `name` with `value` as soon as the store responds,
+    /// and again whenever the lease has expired. Does not wait for the store.
     ///
     /// # Errors
     ///
-    /// [`io::Error`] of starting the thread, or if `value` cannot be encoded.
+    /// If the thread cannot be started or `value` cannot be encoded.
     pub fn start<T: Serialize>(
         store: Arc<dyn Store>,
         clock: Arc<dyn Clock>,
@@ -83,8 +90,8 @@
             clock,
             key: format!("{INSTANCES_PREFIX}{name}"),
             value: Mutex::new(serde_json::to_vec(value)?),
-            changed: AtomicBool::new(false),
-            announce: AtomicBool::new(false),
+            write_needed: AtomicBool::new(false),
+            renew_now: AtomicBool::new(false),
             closed: AtomicBool::new(false),
             renewed_at_ms: AtomicU64::new(NEVER),
         });
@@ -92,8 +99,8 @@
             shared: Arc::clone(&shared),
             settings,
             lease: None,
-            next_ms: 0,
-            rounds: 0,
+            next_renewal_ms: 0,
+            renewals: 0,
         };
         let thread = thread::Builder::new()
             .name("registration".into())
@@ -101,8 +108,10 @@
         Ok(Registration { shared, thread })
     }
 
-    /// Milliseconds since the last successful renewal was **sent**, `None` before the
-    /// first.
+    /// Milliseconds since the last successful renewal was sent, `None` before the first.
+    ///
+    /// The store received the renewal after that, so the lease does not expire earlier
+    /// than its time to live after the sending.
     pub fn renewal_age_ms(&self) -> Option<u64> {
         match self.shared.renewed_at_ms.load(Ordering::SeqCst) {
             NEVER => None,
@@ -110,7 +119,8 @@
         }
     }
 
-    /// Replaces the value, e.g. to announce that the instance is leaving.
+    /// Replaces the value of the record without waiting for the next renewal, for example
+    /// to show that the instance is leaving. Does not wait for the store.
     ///
     /// # Errors
     ///
@@ -122,75 +132,85 @@
             .value
             .lock()
             .unwrap_or_else(PoisonError::into_inner) = value;
-        self.shared.changed.store(true, Ordering::SeqCst);
-        self.shared.announce.store(true, Ordering::SeqCst);
+        self.shared.write_needed.store(true, Ordering::SeqCst);
+        self.shared.renew_now.store(true, Ordering::SeqCst);
         Ok(())
     }
 
-    /// Deletes the registration, at most one store deadline long, and ends the thread.
-    /// If the store is down, the lease ends the registration.
+    /// Revokes the lease, which deletes the record, and waits for the thread. If the store
+    /// does not respond, the record stays until the lease expires.
     pub fn close(self) {
         self.shared.closed.store(true, Ordering::SeqCst);
         let _ = self.thread.join();
     }
 }
 
+/// The state of the registration's thread.
 struct Renewer {
     shared: Arc<Shared>,
     settings: RegistrationSettings,
+    /// The lease of the record, `None` before the first one and after a lost one.
     lease: Option<LeaseId>,
-    next_ms: u64,
-    rounds: u64,
+    /// When the next renewal is due.
+    next_renewal_ms: u64,
+    /// Renewals attempted so far.
+    renewals: u64,
 }
 
 impl Renewer {
     fn run(mut self) {
         while !self.shared.closed.load(Ordering::SeqCst) {
             let now_ms = self.shared.clock.now_ms();
-            if now_ms < self.next_ms && !self.shared.announce.load(Ordering::SeqCst) {
-                thread::sleep(Duration::from_millis(STEP_MS));
+            if now_ms < self.next_renewal_ms
+                && !self.shared.renew_now.load(Ordering::SeqCst)
+            {
+                thread::sleep(Duration::from_millis(WAKE_INTERVAL_MS));
                 continue;
             }
-            self.shared.announce.store(false, Ordering::SeqCst);
-            let changed = self.shared.changed.swap(false, Ordering::SeqCst);
-            self.next_ms = now_ms + self.settings.renew_interval_ms;
-            match self.keep(changed) {
+            self.shared.renew_now.store(false, Ordering::SeqCst);
+            let write_needed = self.shared.write_needed.swap(false, Ordering::SeqCst);
+            self.next_renewal_ms = now_ms + self.settings.renew_interval_ms;
+            match self.renew_or_register(write_needed) {
                 Ok(()) => self.shared.renewed_at_ms.store(now_ms, Ordering::SeqCst),
-                Err(error) => self.retry(now_ms, &error),
+                Err(error) => self.schedule_retry(now_ms, &error),
             }
         }
-        self.end();
+        self.revoke();
     }
 
-    /// Makes the next round due sooner, and writes the record in it in any case.
-    fn retry(&mut self, now_ms: u64, error: &StoreError) {
+    /// Schedules the next attempt after a third of the renewal interval. It writes the
+    /// record, since the failed one may not have done so.
+    fn schedule_retry(&mut self, now_ms: u64, error: &StoreError) {
         log::warn!(
             "event=registration_failed key={} error={error:?}",
             self.shared.key
         );
-        self.next_ms = now_ms + self.settings.renew_interval_ms / 3;
-        self.shared.changed.store(true, Ordering::SeqCst);
+        self.next_renewal_ms = now_ms + self.settings.renew_interval_ms / 3;
+        self.shared.write_needed.store(true, Ordering::SeqCst);
     }
 
-    /// Renews the lease and writes the record if it is new, changed or lost.
-    fn keep(&mut self, changed: bool) -> Result<(), StoreError> {
-        self.rounds += 1;
-        let lease = match self.renewed()? {
-            Some(lease) if !changed && self.is_in_place(lease)? => return Ok(()),
+    /// Renews the lease, or gets a new one, and writes the record if the lease is new, the
+    /// record is missing or `write_needed` is set.
+    fn renew_or_register(&mut self, write_needed: bool) -> Result<(), StoreError> {
+        self.renewals += 1;
+        let lease = match self.renew_lease()? {
+            Some(lease) if !write_needed && self.is_record_intact(lease)? => {
+                return Ok(());
+            }
             Some(lease) => lease,
             None => self.shared.store.grant_lease(self.settings.ttl_s)?,
         };
         let result = self.write(lease);
-        // After an unknown outcome the write is repeated with the same lease. With a new
-        // one, the first write could arrive late and bind the record to a lease that
-        // nobody renews.
-        let lost = matches!(result, Err(StoreError::Rejected(_)));
-        self.lease = (!lost).then_some(lease);
+        // After an unknown outcome, the write is repeated with the same lease. With a new
+        // lease, the first write could arrive late and attach the record to a lease that
+        // is no longer renewed.
+        let lease_is_gone = matches!(result, Err(StoreError::Rejected(_)));
+        self.lease = (!lease_is_gone).then_some(lease);
         result
     }
 
-    /// Renews the lease. `None` if there is none or it has ended.
-    fn renewed(&mut self) -> Result<Option<LeaseId>, StoreError> {
+    /// Renews the lease. Returns `None` if there is no lease or it has expired.
+    fn renew_lease(&mut self) -> Result<Option<LeaseId>, StoreError> {
         let Some(lease) = self.lease else {
             return Ok(None);
         };
@@ -201,21 +221,23 @@
         Ok(self.lease)
     }
 
-    /// Whether the record still hangs on `lease`. Read only every few rounds: deletion
-    /// by an operator and a second process of the same name are rare.
-    fn is_in_place(&self, lease: LeaseId) -> Result<bool, StoreError> {
-        if !self.rounds.is_multiple_of(self.settings.check_every) {
+    /// Whether the record is still attached to `lease`. Reads the record only on every
+    /// `check_every`-th renewal and assumes it on the others: a deletion by an operator
+    /// and a second process of the same name are rare.
+    fn is_record_intact(&self, lease: LeaseId) -> Result<bool, StoreError> {
+        if !self.renewals.is_multiple_of(self.settings.check_every) {
             return Ok(true);
         }
         let entry = self.shared.store.get(&self.shared.key)?;
-        let in_place = entry.is_some_and(|entry| entry.lease == Some(lease));
-        if !in_place {
+        let is_intact = entry.is_some_and(|entry| entry.lease == Some(lease));
+        if !is_intact {
             log::warn!("event=registration_replaced key={}", self.shared.key);
         }
-        Ok(in_place)
+        Ok(is_intact)
     }
 
-    /// Writes the record over whatever a previous process of this name left.
+    /// Writes the record with `lease`. Replaces the record that a previous process of the
+    /// same name may have left, hence no condition.
     fn write(&self, lease: LeaseId) -> Result<(), StoreError> {
         let value = self
             .shared
@@ -237,7 +259,7 @@
             .map(|_| ())
     }
 
-    fn end(&self) {
+    fn revoke(&self) {
         let Some(lease) = self.lease else {
             return;
         };
@@ -250,31 +272,36 @@
     }
 }
 
-/// One registered instance.
+/// An instance that was registered when the store was read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Registered<T> {
-    /// Name of the instance.
+    /// The name of the instance: the key without [`INSTANCES_PREFIX`].
     pub name: String,
-    /// Its record.
+    /// The value that the instance registered, with the version of the record.
     pub record: Versioned<T>,
-    /// The lease of the record. Another one tells that the registration had ended between.
+    /// The lease of the record. A different lease than in an earlier read means that the
+    /// registration had ended in between.
     pub lease: Option<LeaseId>,
 }
 
-/// Reads all registrations, by name.
+/// Reads all registrations, sorted by name. Records that cannot be decoded are left out
+/// and logged.
 ///
 /// # Errors
 ///
-/// [`RecordError::Store`] if the store gave no answer. Records that cannot be read are
-/// left out and logged.
+/// [`RecordError::Store`] if the store did not respond.
 pub fn registrations<T: DeserializeOwned>(
     store: &dyn Store,
 ) -> Result<Vec<Registered<T>>, RecordError> {
     let range = store.range(INSTANCES_PREFIX)?;
-    Ok(range.entries.iter().filter_map(registered).collect())
+    Ok(range
+        .entries
+        .iter()
+        .filter_map(decode_registration)
+        .collect())
 }
 
-fn registered<T: DeserializeOwned>(entry: &Entry) -> Option<Registered<T>> {
+fn decode_registration<T: DeserializeOwned>(entry: &Entry) -> Option<Registered<T>> {
     match serde_json::from_slice(&entry.value) {
         Ok(value) => Some(Registered {
             name: entry.key[INSTANCES_PREFIX.len()..].to_string(),
@@ -294,8 +321,8 @@
     }
 }
 
-/// Deletes the registration of an instance that is known to be dead, if the record still
-/// has `version`.
+/// Deletes the registration of an instance that an operator knows to be dead, if the
+/// record still has `version`.
 ///
 /// # Errors
 ///
--- a/crates/store/src/typed.rs
+++ b/crates/store/src/typed.rs
@@ -1,4 +1,5 @@
-//! Single store records as typed values with compare-and-swap.
+//! Single store keys whose values are read and written as typed JSON records, with
+//! compare-and-swap on the version.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -12,30 +13,33 @@
 use crate::error::StoreError;
 use crate::record::{Condition, Entry, LeaseId, Transaction, Write};
 
-/// Attempts of [`Record::update`] when others change the record at the same time.
-const RACE_ATTEMPTS: u32 = 10;
+/// Attempts of [`Record::update`] while other writers change the record at the same time.
+const MAX_UPDATE_ATTEMPTS: u32 = 10;
 
-/// Attempts of [`Record::claim`] after lost answers.
-const CLAIM_ATTEMPTS: u32 = 5;
+/// Attempts of [`Record::claim`] after lost responses and conflicts.
+const MAX_CLAIM_ATTEMPTS: u32 = 5;
 
-/// A value with the store revision of its last change.
+/// A value with the version to give for a compare-and-swap.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Versioned<T> {
-    /// The store revision of the last change. Never 0.
+    /// The store revision at which the record was last written. Never 0.
     pub version: u64,
-    /// The value.
+    /// The decoded value of the record.
     pub value: T,
 }
 
 /// Why a typed read or write failed.
+///
+/// The `Display` text reaches operators in responses of the administration API.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[non_exhaustive]
 pub enum RecordError {
     /// The record changed since the expected version. Nothing was written.
     Conflict,
-    /// The stored or given value is not valid. Nothing was written.
+    /// The stored value cannot be decoded, or the given one cannot be encoded. Nothing was
+    /// written.
     Malformed(String),
-    /// The store failed; see there whether the write may have been made.
+    /// The store call failed. [`StoreError`] tells whether the write may have been made.
     Store(StoreError),
 }
 
@@ -66,27 +70,29 @@
 /// The outcome of [`Record::claim`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Claim<T> {
-    /// The record now holds the given value.
-    Ours(Versioned<T>),
-    /// The record already held another value.
-    Theirs(Versioned<T>),
+    /// The record holds the claimant's value.
+    Acquired(Versioned<T>),
+    /// Another claimant came first; the record holds its value.
+    AlreadyHeld(Versioned<T>),
 }
 
-/// One store key with a JSON value of type `T`.
+/// One store key whose value is the JSON form of a `T`.
 pub struct Record<T> {
     store: Arc<dyn Store>,
     key: String,
     value: PhantomData<fn() -> T>,
 }
 
-/// The record with the home weights of all instances.
+/// The record with the home weights of all instances, which divide the rates of the
+/// customers between them.
 pub fn home_weights_record<T: DeserializeOwned + Serialize>(
     store: &Arc<dyn Store>,
 ) -> Record<T> {
     Record::new(store, "quota/home".into())
 }
 
-/// The record that names the successor of an incarnation.
+/// The record that names the instance that takes over the programs of a dead incarnation.
+/// Creating it decides between several candidates.
 pub fn takeover_record<T: DeserializeOwned + Serialize>(
     store: &Arc<dyn Store>,
     incarnation: &Incarnation,
@@ -94,7 +100,7 @@
     Record::new(store, format!("takeovers/{incarnation}"))
 }
 
-/// The record with the budget grants of an incarnation.
+/// The record with the budgets granted to the programs of an incarnation.
 pub fn budget_record<T: DeserializeOwned + Serialize>(
     store: &Arc<dyn Store>,
     incarnation: &Incarnation,
@@ -102,7 +108,8 @@
     Record::new(store, format!("budgets/{incarnation}"))
 }
 
-/// Deletes a key that still has `version`.
+/// Deletes `key` if it was last written at revision `version`. Fails with
+/// [`RecordError::Conflict`] otherwise.
 pub(crate) fn delete_version(
     store: &dyn Store,
     key: &str,
@@ -123,7 +130,7 @@
     }
 }
 
-fn versioned<T: DeserializeOwned>(entry: &Entry) -> Result<Versioned<T>, RecordError> {
+fn decode_entry<T: DeserializeOwned>(entry: &Entry) -> Result<Versioned<T>, RecordError> {
     Ok(Versioned {
         version: entry.mod_revision,
         value: serde_json::from_slice(&entry.value)?,
@@ -131,7 +138,7 @@
 }
 
 impl<T: DeserializeOwned + Serialize> Record<T> {
-    /// The record under `key`.
+    /// Refers to the record at `key` without reading it.
     pub fn new(store: &Arc<dyn Store>, key: String) -> Record<T> {
         Record {
             store: Arc::clone(store),
@@ -149,12 +156,12 @@
         self.store
             .get(&self.key)?
             .as_ref()
-            .map(versioned)
+            .map(decode_entry)
             .transpose()
     }
 
-    /// Writes the record if it still has `version` (0: does not exist). Returns the new
-    /// version.
+    /// Writes the record if it still has `version`, where 0 means that it does not exist.
+    /// Returns the new version.
     ///
     /// # Errors
     ///
@@ -164,7 +171,7 @@
         self.write_with_lease(value, version, None)
     }
 
-    /// Like [`Record::write`], for a record that ends with `lease`.
+    /// Like [`Record::write`], for a record that the store deletes when `lease` ends.
     ///
     /// # Errors
     ///
@@ -175,7 +182,7 @@
         version: u64,
         lease: Option<LeaseId>,
     ) -> Result<u64, RecordError> {
-        let unchanged = Condition::ModRevision {
+        let has_version = Condition::ModRevision {
             key: self.key.clone(),
             revision: version,
         };
@@ -185,7 +192,7 @@
             lease,
         };
         let commit = self.store.commit(Transaction {
-            conditions: vec![unchanged],
+            conditions: vec![has_version],
             writes: vec![write],
         })?;
         match commit.succeeded {
@@ -203,13 +210,16 @@
         delete_version(self.store.as_ref(), &self.key, version)
     }
 
-    /// Reads, changes and writes the record, again if others change it meanwhile.
-    /// `change` gets the current value and returns the new one, or `None` to leave the
-    /// record as it is. Returns the record as it is then.
+    /// Reads the record, passes it to `change` and writes the result, and starts over if
+    /// another writer changed the record in between.
+    ///
+    /// `change` gets the current value, or `None` if there is no record. It returns the new
+    /// value, or `None` to leave the record as it is. Returns the record as stored
+    /// afterwards.
     ///
     /// # Errors
     ///
-    /// As [`Record::write`]; [`RecordError::Conflict`] after ten lost races.
+    /// As [`Record::write`]; [`RecordError::Conflict`] after ten attempts.
     pub fn update(
         &self,
         mut change: impl FnMut(Option<&T>) -> Option<T>,
@@ -222,7 +232,9 @@
             };
             match self.write(&value, old.map_or(0, |old| old.version)) {
                 Ok(version) => return Ok(Some(Versioned { version, value })),
-                Err(RecordError::Conflict) if attempt < RACE_ATTEMPTS => attempt += 1,
+                Err(RecordError::Conflict) if attempt < MAX_UPDATE_ATTEMPTS => {
+                    attempt += 1
+                }
                 Err(error) => return Err(error),
             }
         }
@@ -230,26 +242,30 @@
 }
 
 impl<T: DeserializeOwned + PartialEq + Serialize> Record<T> {
-    /// Creates the record, or reads it if it exists. Each claimant must give a value of
-    /// its own, because after a lost answer the values tell the claimants apart.
+    /// Creates the record with `value`, or reads it if it exists. The claimant whose value
+    /// is stored has acquired the claim.
+    ///
+    /// Each claimant must give a different value: after a lost response, only the stored
+    /// value tells whose write was applied.
     ///
     /// # Errors
     ///
-    /// As [`Record::write`]. After an error the claim may still succeed later.
+    /// As [`Record::write`]. After an error, a request that is still under way may acquire
+    /// the claim later.
     pub fn claim(&self, value: T) -> Result<Claim<T>, RecordError> {
         let mut attempt = 1;
         loop {
             match self.read()? {
-                Some(found) if found.value == value => return Ok(Claim::Ours(found)),
-                Some(found) => return Ok(Claim::Theirs(found)),
+                Some(found) if found.value == value => return Ok(Claim::Acquired(found)),
+                Some(found) => return Ok(Claim::AlreadyHeld(found)),
                 None => {}
             }
             let created = self.write(&value, 0);
             match created {
-                Ok(version) => return Ok(Claim::Ours(Versioned { version, value })),
+                Ok(version) => return Ok(Claim::Acquired(Versioned { version, value })),
                 Err(RecordError::Store(StoreError::OutcomeUnknown(_)))
                 | Err(RecordError::Conflict)
-                    if attempt < CLAIM_ATTEMPTS =>
+                    if attempt < MAX_CLAIM_ATTEMPTS =>
                 {
                     attempt += 1
                 }
--- a/crates/store/tests/typed.rs
+++ b/crates/store/tests/typed.rs
@@ -78,11 +78,11 @@
     let first = record.claim("i1.1".into()).unwrap();
     let second = record.claim("i2.1".into()).unwrap();
     assert!(
-        matches!(&first, Claim::Ours(won) if won.value == "i1.1"),
+        matches!(&first, Claim::Acquired(won) if won.value == "i1.1"),
         "{first:?}"
     );
     assert!(
-        matches!(&second, Claim::Theirs(won) if won.value == "i1.1"),
+        matches!(&second, Claim::AlreadyHeld(won) if won.value == "i1.1"),
         "{second:?}"
     );
     gateway.close();
