--- a/crates/store/src/etcd/counts.rs
+++ b/crates/store/src/etcd/counts.rs
@@ -1,17 +1,18 @@
-//! Counts of the calls that the platform charges for.
+//! Counts of the calls to the store, by the kinds in which the platform charges for them.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Calls made so far. The platform charges for each.
+/// Calls that were sent to the store since the client was created. The platform charges
+/// for each.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct CallCounts {
     /// Reads of a key, a prefix or the newest revision.
     pub reads: u64,
-    /// Transactions.
+    /// Transactions, including those whose conditions did not hold.
     pub writes: u64,
-    /// Grants, renewals and ends of leases.
+    /// Grants, renewals and revocations of leases.
     pub leases: u64,
-    /// Watches opened. A waiting watch is one call.
+    /// Watches opened. A watch counts once, however long it stays open.
     pub watches: u64,
 }
 
@@ -23,33 +24,34 @@
     watches: AtomicU64,
 }
 
-/// Whether a call can change the store, and under which count it falls.
+/// The kind of a call: selects its counter and tells whether it can change the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Kind {
+pub(super) enum CallKind {
     Read,
     Write,
     Lease,
     Watch,
 }
 
-impl Kind {
+impl CallKind {
+    /// Whether a call without a response may have changed the store.
     pub(super) fn can_change(self) -> bool {
-        matches!(self, Kind::Write | Kind::Lease)
+        matches!(self, CallKind::Write | CallKind::Lease)
     }
 }
 
 impl Counters {
-    pub(super) fn count(&self, kind: Kind) {
+    pub(super) fn increment(&self, kind: CallKind) {
         let counter = match kind {
-            Kind::Read => &self.reads,
-            Kind::Write => &self.writes,
-            Kind::Lease => &self.leases,
-            Kind::Watch => &self.watches,
+            CallKind::Read => &self.reads,
+            CallKind::Write => &self.writes,
+            CallKind::Lease => &self.leases,
+            CallKind::Watch => &self.watches,
         };
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(super) fn read(&self) -> CallCounts {
+    pub(super) fn snapshot(&self) -> CallCounts {
         CallCounts {
             reads: self.reads.load(Ordering::Relaxed),
             writes: self.writes.load(Ordering::Relaxed),
--- a/crates/store/src/etcd/transport.rs
+++ b/crates/store/src/etcd/transport.rs
@@ -1,5 +1,5 @@
-//! Connections of the client: deadlines, and errors that tell a request that was never
-//! sent from one that was.
+//! HTTP agents of the client: deadlines, and errors that distinguish a request that was
+//! never sent from one that may have reached the store.
 
 use std::fmt;
 use std::io;
@@ -17,13 +17,13 @@
 
 use super::EtcdSettings;
 
-/// A waiting watch looks this often whether it was closed.
+/// How often a waiting watch checks whether it was closed.
 const CLOSE_CHECK_MS: u64 = 100;
 
-/// Idle connections kept. Calls come from few threads.
+/// Number of idle connections kept. Few threads make calls.
 const MAX_IDLE_CONNECTIONS: usize = 4;
 
-/// No connection was made, so nothing was sent.
+/// No connection was established, so nothing was sent.
 #[derive(Debug)]
 struct NotConnected(Error);
 
@@ -35,7 +35,7 @@
 
 impl std::error::Error for NotConnected {}
 
-/// Whether the call failed before a connection existed.
+/// Whether the call failed before a connection was established.
 pub(super) fn not_connected(error: &Error) -> bool {
     match error {
         Error::Other(inner) => inner.is::<NotConnected>(),
@@ -43,46 +43,51 @@
     }
 }
 
-/// Connects over TCP and marks every failure to connect.
+/// Connects over TCP and wraps every failure to connect in [`NotConnected`].
 #[derive(Debug)]
-struct MarkingConnector {
+struct StoreConnector {
     tcp: TcpConnector,
+    /// Set for watches only.
     limits: Option<WatchLimits>,
 }
 
+/// When the connection of a watch ends.
 #[derive(Clone, Debug)]
 struct WatchLimits {
+    /// Set by the owner of the watch to close it.
     closed: Arc<AtomicBool>,
-    progress: Duration,
+    /// Longest time without a received byte.
+    idle_timeout: Duration,
 }
 
-impl Connector<()> for MarkingConnector {
-    type Out = LimitedTransport;
+impl Connector<()> for StoreConnector {
+    type Out = StoreTransport;
 
     fn connect(
         &self,
         details: &ConnectionDetails<'_>,
         chained: Option<()>,
-    ) -> Result<Option<LimitedTransport>, Error> {
+    ) -> Result<Option<StoreTransport>, Error> {
         let connected = self
             .tcp
             .connect(details, chained)
             .map_err(|error| Error::Other(Box::new(NotConnected(error))))?;
-        Ok(connected.map(|transport| LimitedTransport {
+        Ok(connected.map(|transport| StoreTransport {
             transport: Box::new(transport),
             limits: self.limits.clone(),
         }))
     }
 }
 
-/// A connection that, for a watch, ends when closed or without progress.
+/// A connection. That of a watch fails when the watch is closed or receives nothing for
+/// too long.
 #[derive(Debug)]
-struct LimitedTransport {
+struct StoreTransport {
     transport: Box<dyn Transport>,
     limits: Option<WatchLimits>,
 }
 
-impl Transport for LimitedTransport {
+impl Transport for StoreTransport {
     fn buffers(&mut self) -> &mut dyn Buffers {
         self.transport.buffers()
     }
@@ -98,7 +103,7 @@
     fn await_input(&mut self, timeout: NextTimeout) -> Result<bool, Error> {
         match self.limits.clone() {
             None => self.transport.await_input(timeout),
-            Some(limits) => self.await_progress(&limits, timeout),
+            Some(limits) => self.await_watch_input(&limits, timeout),
         }
     }
 
@@ -107,22 +112,23 @@
     }
 }
 
-impl LimitedTransport {
-    /// Waits in short steps for input, so that a close is noticed.
-    fn await_progress(
+impl StoreTransport {
+    /// Waits for input in short steps and checks between them whether the watch was
+    /// closed.
+    fn await_watch_input(
         &mut self,
         limits: &WatchLimits,
         timeout: NextTimeout,
     ) -> Result<bool, Error> {
-        let mut left = limits.progress.min(*timeout.after);
+        let mut remaining = limits.idle_timeout.min(*timeout.after);
         while !limits.closed.load(Ordering::Relaxed) {
-            let step = left.min(Duration::from_millis(CLOSE_CHECK_MS));
+            let step = remaining.min(Duration::from_millis(CLOSE_CHECK_MS));
             let next = NextTimeout {
                 after: step.into(),
                 ..timeout
             };
             match self.transport.await_input(next) {
-                Err(Error::Timeout(_)) if left > step => left -= step,
+                Err(Error::Timeout(_)) if remaining > step => remaining -= step,
                 result => return result,
             }
         }
@@ -131,14 +137,16 @@
 }
 
 fn agent(config: Config, limits: Option<WatchLimits>) -> Agent {
-    let connector = MarkingConnector {
+    let connector = StoreConnector {
         tcp: TcpConnector::default(),
         limits,
     };
     Agent::with_parts(config, connector, DefaultResolver::default())
 }
 
-/// What calls and watches have in common: everything up to the body of the answer.
+/// The options that calls and watches share: everything but the body of the response,
+/// which has no end for a watch. Redirects and proxies are off: every request goes
+/// to a configured address.
 fn config_builder(settings: &EtcdSettings) -> ConfigBuilder<AgentScope> {
     let first_byte = Duration::from_millis(settings.first_byte_timeout_ms);
     Agent::config_builder()
@@ -152,7 +160,7 @@
         .timeout_recv_response(Some(first_byte))
 }
 
-/// An agent for calls that are answered at once.
+/// An agent for calls other than watches, with pooled connections.
 pub(super) fn call_agent(settings: &EtcdSettings) -> Agent {
     let config = config_builder(settings)
         .timeout_recv_body(Some(Duration::from_millis(settings.body_timeout_ms)))
@@ -161,12 +169,13 @@
     agent(config, None)
 }
 
-/// An agent for one watch on a connection of its own, which ends once `closed` is set.
+/// An agent for one watch. The watch has a connection of its own, which fails once
+/// `closed` is set.
 pub(super) fn watch_agent(settings: &EtcdSettings, closed: &Arc<AtomicBool>) -> Agent {
     let config = config_builder(settings).max_idle_connections(0).build();
     let limits = WatchLimits {
         closed: Arc::clone(closed),
-        progress: Duration::from_millis(settings.watch_progress_ms),
+        idle_timeout: Duration::from_millis(settings.watch_progress_ms),
     };
     agent(config, Some(limits))
 }
--- a/crates/store/src/etcd/watch.rs
+++ b/crates/store/src/etcd/watch.rs
@@ -1,4 +1,5 @@
-//! A watch: a thread reads the streamed answer and passes changes on.
+//! An etcd watch: a thread reads the streamed response and queues its messages for the
+//! caller of [`Watch::next`].
 
 use std::io::{BufReader, Read};
 use std::sync::Arc;
@@ -16,34 +17,37 @@
 use crate::error::StoreError;
 use crate::record::Change;
 
-/// Messages that wait for a slow reader before the connection is held back.
-const BUFFERED_MESSAGES: usize = 1_024;
+/// Number of messages queued for a slow caller. When the queue is full, the thread stops
+/// reading, and TCP flow control slows the store down.
+const MAX_QUEUED_MESSAGES: usize = 1_024;
 
 type Message = Result<WatchMessage, StoreError>;
 
-/// An open watch over a connection of its own.
+/// An open watch with a connection and a thread of its own.
 pub(super) struct EtcdWatch {
     messages: Receiver<Message>,
+    /// Makes the connection fail, so that the thread ends.
     closed: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl EtcdWatch {
-    /// Waits up to `deadline` for the store to confirm the watch.
+    /// Starts to read the response to a watch request and waits up to `timeout` for the
+    /// message that confirms the watch.
     pub(super) fn open(
         response: Response<Body>,
         closed: Arc<AtomicBool>,
-        deadline: Duration,
+        timeout: Duration,
     ) -> Result<Box<dyn Watch>, StoreError> {
         let status = response.status().as_u16();
         let mut reader = response.into_body().into_reader();
         if status != 200 {
-            let mut text = Vec::new();
-            let _ = reader.by_ref().take(1_000).read_to_end(&mut text);
-            let why = format!("status {status}: {}", wire::error_text(&text));
-            return Err(StoreError::Unavailable(why));
+            let mut body = Vec::new();
+            let _ = reader.by_ref().take(1_000).read_to_end(&mut body);
+            let reason = format!("status {status}: {}", wire::error_text(&body));
+            return Err(StoreError::Unavailable(reason));
         }
-        let (sender, messages) = channel::bounded(BUFFERED_MESSAGES);
+        let (sender, messages) = channel::bounded(MAX_QUEUED_MESSAGES);
         let thread = std::thread::Builder::new()
             .name("store-watch".into())
             .spawn(move || read_messages(reader, &sender))
@@ -53,45 +57,52 @@
             closed,
             thread: Some(thread),
         });
-        watch.await_created(deadline)?;
+        watch.await_created(timeout)?;
         Ok(watch)
     }
 
-    fn await_created(&self, deadline: Duration) -> Result<(), StoreError> {
-        let message = self.messages.recv_timeout(deadline).map_err(ended)??;
+    fn await_created(&self, timeout: Duration) -> Result<(), StoreError> {
+        let message = self
+            .messages
+            .recv_timeout(timeout)
+            .map_err(receive_error)??;
         match message.is_created() {
             true => Ok(()),
             false => message.into_changes().and_then(|_| {
-                let why = "the watch began without a confirmation";
-                Err(StoreError::Protocol(why.into()))
+                let reason = "the first message does not confirm the watch";
+                Err(StoreError::Protocol(reason.into()))
             }),
         }
     }
 
+    /// Ends the thread and waits for it. A thread that waits for room in the queue is
+    /// released by emptying the queue and dropping the receiver.
     fn stop(&mut self) {
         self.closed.store(true, Ordering::Relaxed);
         while self.messages.try_recv().is_ok() {}
         if let Some(thread) = self.thread.take() {
-            let (_, unused) = channel::bounded(0);
-            self.messages = unused;
+            let (_, disconnected) = channel::bounded(0);
+            self.messages = disconnected;
             let _ = thread.join();
         }
     }
 }
 
-fn ended(error: RecvTimeoutError) -> StoreError {
+fn receive_error(error: RecvTimeoutError) -> StoreError {
     StoreError::Unavailable(match error {
-        RecvTimeoutError::Timeout => "the watch was not confirmed in time".into(),
-        RecvTimeoutError::Disconnected => "the watch ended".into(),
+        RecvTimeoutError::Timeout => "the store did not confirm the watch in time".into(),
+        RecvTimeoutError::Disconnected => "the watch stream ended".into(),
     })
 }
 
+/// Queues the messages of the stream until it ends, fails or the receiver is dropped. An
+/// error is queued as the last message.
 fn read_messages(reader: impl Read, messages: &Sender<Message>) {
     let stream = Deserializer::from_reader(BufReader::new(reader));
     for message in stream.into_iter::<WatchMessage>() {
         let message = message.map_err(|error| StoreError::Unavailable(error.to_string()));
-        let last = message.is_err();
-        if messages.send(message).is_err() || last {
+        let failed = message.is_err();
+        if messages.send(message).is_err() || failed {
             return;
         }
     }
@@ -102,7 +113,7 @@
         match self.messages.recv_timeout(timeout) {
             Ok(message) => message?.into_changes(),
             Err(RecvTimeoutError::Timeout) => Ok(Vec::new()),
-            Err(error) => Err(ended(error)),
+            Err(error) => Err(receive_error(error)),
         }
     }
 
--- a/crates/store/src/etcd/wire.rs
+++ b/crates/store/src/etcd/wire.rs
@@ -1,5 +1,5 @@
-//! JSON forms of the gateway: base64 for bytes, 64-bit numbers as strings, and fields
-//! with a zero value left out.
+//! JSON requests and responses of the etcd gateway. It encodes bytes as base64 and 64-bit
+//! integers as strings, and omits fields that are zero or empty.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -19,9 +19,10 @@
         .map_err(|error| StoreError::Protocol(format!("invalid base64: {error}")))
 }
 
-/// Key and end of the range of all keys that start with `prefix`, which is not empty.
-/// All keys of jayreel are ASCII, so the last byte can be increased.
-pub(super) fn prefix(prefix: &str) -> Value {
+/// The `key` and `range_end` that select all keys that start with `prefix`, which must not
+/// be empty. The end is exclusive: the prefix with its last byte increased by one. That
+/// cannot overflow, because all keys of jayreel are ASCII.
+pub(super) fn prefix_range(prefix: &str) -> Value {
     let mut end = prefix.as_bytes().to_vec();
     if let Some(last) = end.last_mut() {
         *last += 1;
@@ -29,13 +30,13 @@
     json!({ "key": encode(prefix), "range_end": encode(end) })
 }
 
-fn condition(condition: &Condition) -> Value {
+fn compare(condition: &Condition) -> Value {
     let Condition::ModRevision { key, revision } = condition;
     json!({ "target": "MOD", "result": "EQUAL", "key": encode(key),
         "mod_revision": revision.to_string() })
 }
 
-fn write(write: &Write) -> Value {
+fn write_request(write: &Write) -> Value {
     match write {
         Write::Delete { key } => {
             json!({ "request_delete_range": { "key": encode(key) } })
@@ -49,11 +50,12 @@
 }
 
 pub(super) fn transaction(transaction: &Transaction) -> Value {
-    let compare: Vec<Value> = transaction.conditions.iter().map(condition).collect();
-    let success: Vec<Value> = transaction.writes.iter().map(write).collect();
+    let compare: Vec<Value> = transaction.conditions.iter().map(compare).collect();
+    let success: Vec<Value> = transaction.writes.iter().map(write_request).collect();
     json!({ "compare": compare, "success": success })
 }
 
+/// Deserializes an integer that the gateway writes as a string or as a JSON number.
 fn number<'de, D, N>(input: D) -> Result<N, D::Error>
 where
     D: Deserializer<'de>,
@@ -66,9 +68,11 @@
     text.parse().map_err(serde::de::Error::custom)
 }
 
+/// The header of every response.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(super) struct Header {
+    /// The revision of the store when it responded.
     #[serde(deserialize_with = "number")]
     pub(super) revision: u64,
 }
@@ -102,12 +106,12 @@
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-pub(super) struct RangeAnswer {
+pub(super) struct RangeResponse {
     header: Header,
     kvs: Vec<KeyValue>,
 }
 
-impl RangeAnswer {
+impl RangeResponse {
     pub(super) fn into_range(self) -> Result<Range, StoreError> {
         let entries: Result<Vec<Entry>, StoreError> =
             self.kvs.into_iter().map(KeyValue::into_entry).collect();
@@ -122,14 +126,14 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub(super) struct TxnAnswer {
+pub(super) struct TxnResponse {
     pub(super) header: Header,
     #[serde(default)]
     pub(super) succeeded: bool,
 }
 
 #[derive(Debug, Deserialize)]
-pub(super) struct LeaseAnswer {
+pub(super) struct LeaseResponse {
     #[serde(rename = "ID", deserialize_with = "number")]
     pub(super) id: i64,
     #[serde(default, rename = "TTL", deserialize_with = "number")]
@@ -137,8 +141,8 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub(super) struct KeepAliveAnswer {
-    pub(super) result: LeaseAnswer,
+pub(super) struct KeepAliveResponse {
+    pub(super) result: LeaseResponse,
 }
 
 #[derive(Debug, Default, Deserialize)]
@@ -171,7 +175,8 @@
     events: Vec<Event>,
 }
 
-/// One message of a watch stream: a result or an error.
+/// One message of the stream with which the gateway responds to a watch: a result or an
+/// error.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(super) struct WatchMessage {
@@ -180,11 +185,12 @@
 }
 
 impl WatchMessage {
-    /// Whether the message says that the watch is in place.
+    /// Whether the message confirms that the store has created the watch.
     pub(super) fn is_created(&self) -> bool {
         self.result.as_ref().is_some_and(|result| result.created)
     }
 
+    /// The changes that the message delivers, or why the store ended the watch.
     pub(super) fn into_changes(self) -> Result<Vec<Change>, StoreError> {
         match (self.result, self.error) {
             (Some(result), _) if result.compact_revision > 0 => {
@@ -194,16 +200,19 @@
                 result.events.into_iter().map(Event::into_change).collect()
             }
             (_, Some(error)) => Err(StoreError::Unavailable(error.to_string())),
-            _ => Err(StoreError::Unavailable("the store ended the watch".into())),
+            _ => Err(StoreError::Unavailable(
+                "the store canceled the watch".into(),
+            )),
         }
     }
 }
 
-/// The text of an error answer, for logs.
-pub(super) fn error_text(answer: &[u8]) -> String {
-    let value: Value = serde_json::from_slice(answer).unwrap_or_default();
+/// The message in the body of an error response, or the first 200 characters of a body
+/// that has none.
+pub(super) fn error_text(body: &[u8]) -> String {
+    let value: Value = serde_json::from_slice(body).unwrap_or_default();
     match value["message"].as_str().or(value["error"].as_str()) {
         Some(text) => text.to_string(),
-        None => String::from_utf8_lossy(answer).chars().take(200).collect(),
+        None => String::from_utf8_lossy(body).chars().take(200).collect(),
     }
 }
