--- a/crates/store/src/configuration/editor.rs
+++ b/crates/store/src/configuration/editor.rs
@@ -1,4 +1,5 @@
-//! Changes of the configuration by operators.
+//! Changes of configuration records by operators, with a definite outcome wherever the store
+//! allows one. See [`change`] for the protocol.
 
 use std::fmt;
 use std::sync::Arc;
@@ -13,12 +14,12 @@
 use crate::record::{Condition, Entry, LeaseId, Transaction};
 use crate::typed::Versioned;
 
-/// How an editor behaves after a lost answer.
+/// How an editor tries to learn the outcome of a change after a lost response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EditorSettings {
-    /// How often it tries to learn the outcome of a change.
+    /// Number of attempts before the outcome is reported as unknown.
     pub resolve_attempts: u32,
-    /// The pause between these attempts, in milliseconds.
+    /// The pause after each failed attempt, in milliseconds.
     pub resolve_pause_ms: u64,
 }
 
@@ -31,30 +32,35 @@
     }
 }
 
-/// A change that is in the store.
+/// A change that the store holds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Accepted {
     /// The revision of the record, which is also its new version.
     pub revision: u64,
-    /// False if the record already was as wanted and nothing was written.
+    /// False if the record already had the requested value and nothing was written.
     pub changed: bool,
 }
 
-/// A change that is not, or perhaps not, in the store.
+/// Why a change was not made, or that its outcome is unknown.
+///
+/// The `Display` text reaches operators in responses of the administration API.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[non_exhaustive]
 pub enum EditError {
-    /// Not accepted: a record of this name exists, possibly a retired one.
+    /// Not accepted: a record of this name exists, possibly a retired or removed one.
     AlreadyExists(String),
-    /// Not accepted: the record changed since the version on which the change was based.
+    /// Not accepted: the record, or one that the change depends on, is no longer at the
+    /// version on which the change was based.
     Conflict(String),
-    /// Not accepted: the change breaks a rule.
+    /// Not accepted: the change violates a rule of its record type, or the stored record
+    /// cannot be decoded.
     Invalid(String),
-    /// Not accepted: there is no such record.
+    /// Not accepted: there is no record of this name.
     NotFound(String),
-    /// Not accepted: the store did not take the change, and never will.
+    /// Not accepted: the store failed or rejected the change, and will not make it later.
     Store(String),
-    /// It is not known whether the change was accepted.
+    /// The response was lost and the outcome could not be learned afterwards, so the change
+    /// may or may not have been accepted.
     Unknown(String),
 }
 
@@ -84,11 +90,12 @@
 
 impl std::error::Error for EditError {}
 
-/// Converts the error of a call that changes nothing.
-fn not_changed(error: StoreError) -> EditError {
+/// Converts the error of a store call that certainly did not make the change.
+fn store_error(error: StoreError) -> EditError {
     EditError::Store(error.to_string())
 }
 
+/// Type and name of a record, for messages to operators.
 pub(super) fn describe<T: ConfigRecord>(name: &str) -> String {
     format!("{} {name:?}", T::NOUN)
 }
@@ -102,7 +109,8 @@
     })
 }
 
-/// Changes the configuration in the store. Calls block.
+/// Reads and changes configuration records in the store. Calls block until the store
+/// responds or the deadlines and attempts are used up.
 #[derive(Clone)]
 pub struct ConfigurationEditor {
     store: Arc<dyn Store>,
@@ -110,7 +118,7 @@
 }
 
 impl ConfigurationEditor {
-    /// An editor over `store`.
+    /// An editor of the configuration in `store`.
     pub fn new(store: Arc<dyn Store>, settings: EditorSettings) -> ConfigurationEditor {
         ConfigurationEditor { store, settings }
     }
@@ -119,28 +127,30 @@
     ///
     /// # Errors
     ///
-    /// [`EditError::NotFound`], or [`EditError::Store`] if the store gave no answer.
+    /// [`EditError::NotFound`], [`EditError::Store`] if the store did not respond, or
+    /// [`EditError::Invalid`] if the stored record cannot be decoded.
     pub fn read<T: ConfigRecord>(&self, name: &str) -> Result<Versioned<T>, EditError> {
         let entry = self
             .store
             .get(&record_key::<T>(name))
-            .map_err(not_changed)?;
+            .map_err(store_error)?;
         match entry {
             Some(entry) => decode(&entry),
             None => Err(EditError::NotFound(describe::<T>(name))),
         }
     }
 
-    /// Reads all records of a type, by name.
+    /// Reads all records of type `T` with their names, sorted by name.
     ///
     /// # Errors
     ///
-    /// [`EditError::Store`] if the store gave no answer.
+    /// [`EditError::Store`] if the store did not respond, or [`EditError::Invalid`] if a
+    /// stored record cannot be decoded.
     pub fn list<T: ConfigRecord>(
         &self,
     ) -> Result<Vec<(String, Versioned<T>)>, EditError> {
         let prefix = kind_prefix::<T>();
-        let range = self.store.range(&prefix).map_err(not_changed)?;
+        let range = self.store.range(&prefix).map_err(store_error)?;
         let named = |entry: &Entry| {
             let name = entry.key[prefix.len()..].to_string();
             decode(entry).map(|record| (name, record))
@@ -148,7 +158,8 @@
         range.entries.iter().map(named).collect()
     }
 
-    /// Creates a record. The name must never have been used.
+    /// Creates a record. No record of this name may exist, not even a retired or removed
+    /// one.
     ///
     /// # Errors
     ///
@@ -166,7 +177,7 @@
         }
     }
 
-    /// Replaces a record that still has version `version`.
+    /// Replaces a record if it still has `version`, the revision at which it was read.
     ///
     /// # Errors
     ///
@@ -188,8 +199,8 @@
         self.put(name, record, version, Vec::new())
     }
 
-    /// Writes a record that has version `version` (0: that does not exist) if the
-    /// `conditions` hold too.
+    /// Writes a record if it still has `version`, where 0 means that it does not exist, and
+    /// if the other `conditions` hold.
     pub(super) fn put<T: ConfigRecord>(
         &self,
         name: &str,
@@ -203,13 +214,14 @@
         self.commit(&describe::<T>(name), transaction)
     }
 
-    /// Makes a change and learns its outcome, also after a lost answer.
+    /// Commits a change, and finds out its outcome if the response is lost. `what` names
+    /// the record in the message of a conflict.
     pub(super) fn commit(
         &self,
         what: &str,
         change: Transaction,
     ) -> Result<Accepted, EditError> {
-        let lease = self.store.grant_lease(MARKER_TTL_S).map_err(not_changed)?;
+        let lease = self.store.grant_lease(MARKER_TTL_S).map_err(store_error)?;
         let id = EditId::random();
         let result = self.store.commit(change::with_marker(change, &id, lease));
         match result {
@@ -219,16 +231,21 @@
             }),
             Ok(_) => Err(EditError::Conflict(what.to_string())),
             Err(StoreError::OutcomeUnknown(_) | StoreError::Protocol(_)) => {
-                self.resolve(&id, lease)
+                self.resolve_outcome(&id, lease)
             }
-            Err(error) => Err(not_changed(error)),
+            Err(error) => Err(store_error(error)),
         }
     }
 
-    /// Tries to cancel the change; either that succeeds or the change was made.
-    fn resolve(&self, id: &EditId, lease: LeaseId) -> Result<Accepted, EditError> {
+    /// Tries to cancel the change `id` until the store responds. Either the cancellation
+    /// succeeds or the change was made.
+    fn resolve_outcome(
+        &self,
+        id: &EditId,
+        lease: LeaseId,
+    ) -> Result<Accepted, EditError> {
         for _ in 0..self.settings.resolve_attempts {
-            match self.try_resolve(id, lease) {
+            match self.cancel_or_read_outcome(id, lease) {
                 Ok(EditOutcome::Accepted { revision }) => {
                     let changed = true;
                     return Ok(Accepted { revision, changed });
@@ -246,7 +263,8 @@
         Err(EditError::Unknown("the store does not answer".into()))
     }
 
-    fn try_resolve(
+    /// Cancels the change, or reads its outcome if its marker exists already.
+    fn cancel_or_read_outcome(
         &self,
         id: &EditId,
         lease: LeaseId,
--- a/crates/store/src/configuration/entities.rs
+++ b/crates/store/src/configuration/entities.rs
@@ -1,4 +1,5 @@
-//! Changes that are particular to one type of record.
+//! Changes of the [`ConfigurationEditor`] that apply to one type of record only, such as
+//! retiring a profile.
 
 use std::fmt;
 
@@ -13,28 +14,29 @@
 use crate::record::{Condition, Transaction, Write};
 use crate::typed::Versioned;
 
-/// Attempts at a change that stays right when somebody else changes the record first.
-const RACE_ATTEMPTS: u32 = 5;
+/// Attempts at a change without an expected version while others change the same record.
+const MAX_UPDATE_ATTEMPTS: u32 = 5;
 
-/// Start of every customer key, so that secret scanners can find leaked ones.
-const KEY_START: &str = "jayreel-";
+/// Prefix of every customer key, by which secret scanners can find leaked keys.
+const KEY_PREFIX: &str = "jayreel-";
 
-/// Random bytes in a customer key.
-const KEY_BYTES: usize = 32;
+/// Number of random bytes in a customer key.
+const SECRET_BYTES: usize = 32;
 
-/// A new customer key. This is the only time that its text is available.
+/// A newly created customer key. The store holds only its hash, so the key itself is
+/// available only here.
 #[derive(Clone, Eq, PartialEq)]
 pub struct GivenKey {
-    /// The text to hand to the customer.
+    /// The key that the customer authenticates with.
     pub key: String,
-    /// The hash under which it is stored.
+    /// The hash that names the record of the key.
     pub hash: KeyHash,
-    /// The change that made it valid.
+    /// The change that created the record.
     pub accepted: Accepted,
 }
 
 impl fmt::Debug for GivenKey {
-    /// Leaves out the text of the key.
+    /// Leaves out the key, so that it does not get into logs.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("GivenKey")
             .field("hash", &self.hash.to_string())
@@ -44,8 +46,8 @@
 }
 
 impl ConfigurationEditor {
-    /// Retires a profile, if it still has `version` in case one is named. The record stays,
-    /// and its name cannot be used again.
+    /// Retires a profile. With `version`, only if the profile still has that version. The
+    /// record stays, and its name cannot be used again.
     ///
     /// # Errors
     ///
@@ -55,21 +57,21 @@
         name: &str,
         version: Option<u64>,
     ) -> Result<Accepted, EditError> {
-        self.settle(name, version, |profile: &mut Profile| {
+        self.update(name, version, |profile: &mut Profile| {
             profile.retired = true;
         })
     }
 
-    /// Creates a key for an existing customer.
+    /// Creates a random key for an existing customer.
     ///
     /// # Errors
     ///
-    /// See [`EditError`]. After [`EditError::Unknown`] a key may exist that nobody
-    /// knows.
+    /// See [`EditError`]. After [`EditError::Unknown`], the store may hold the hash of a key
+    /// that was never returned to anybody.
     pub fn create_key(&self, customer: &str) -> Result<GivenKey, EditError> {
         let owner: Versioned<Customer> = self.read(customer)?;
-        let secret: [u8; KEY_BYTES] = rand::random();
-        let key = format!("{KEY_START}{}", URL_SAFE_NO_PAD.encode(secret));
+        let secret: [u8; SECRET_BYTES] = rand::random();
+        let key = format!("{KEY_PREFIX}{}", URL_SAFE_NO_PAD.encode(secret));
         let hash = KeyHash::of_key(&key);
         let record = CustomerKey {
             customer: customer.to_string(),
@@ -88,17 +90,18 @@
         })
     }
 
-    /// Withdraws a key for good, whatever its version.
+    /// Withdraws a key permanently, whatever the version of its record.
     ///
     /// # Errors
     ///
     /// See [`EditError`].
     pub fn withdraw_key(&self, hash: KeyHash) -> Result<Accepted, EditError> {
         let name = hash.to_string();
-        self.settle(&name, None, |key: &mut CustomerKey| key.withdrawn = true)
+        self.update(&name, None, |key: &mut CustomerKey| key.withdrawn = true)
     }
 
-    /// Stops new work at an endpoint. Its running work ends normally.
+    /// Marks an endpoint as draining: it gets no new work, and its running work ends
+    /// normally. Has no effect if it is draining already.
     ///
     /// # Errors
     ///
@@ -109,15 +112,15 @@
             let why = format!("endpoint {name:?} was removed");
             return Err(EditError::Invalid(why));
         }
-        self.settle(name, None, |endpoint: &mut Endpoint| {
+        self.update(name, None, |endpoint: &mut Endpoint| {
             if endpoint.state == EndpointState::Active {
                 endpoint.state = EndpointState::Draining;
             }
         })
     }
 
-    /// Marks an endpoint as gone, if it still has `version` in case one is named. The
-    /// record stays.
+    /// Marks an endpoint as removed. With `version`, only if the endpoint still has that
+    /// version. The record stays, and its name cannot be used again.
     ///
     /// # Errors
     ///
@@ -127,12 +130,13 @@
         name: &str,
         version: Option<u64>,
     ) -> Result<Accepted, EditError> {
-        self.settle(name, version, |endpoint: &mut Endpoint| {
+        self.update(name, version, |endpoint: &mut Endpoint| {
             endpoint.state = EndpointState::Removed;
         })
     }
 
-    /// Deletes a route that still has version `version`.
+    /// Deletes a route if it still has `version`. Also writes [`DELETED_KEY`], so that polls
+    /// notice the deletion.
     ///
     /// # Errors
     ///
@@ -140,7 +144,7 @@
     pub fn delete_route(&self, name: &str, version: u64) -> Result<Accepted, EditError> {
         self.read::<Route>(name)?;
         let key = record_key::<Route>(name);
-        let deletion = Write::Put {
+        let deletion_marker = Write::Put {
             key: DELETED_KEY.into(),
             value: key.clone().into_bytes(),
             lease: None,
@@ -150,23 +154,24 @@
                 key: key.clone(),
                 revision: version,
             }],
-            writes: vec![Write::Delete { key }, deletion],
+            writes: vec![Write::Delete { key }, deletion_marker],
         };
         self.commit(&format!("route {name:?}"), transaction)
     }
 
-    /// Brings a record into a state that is right whatever else changed, so without an
-    /// expected version a lost race is repeated on the newer record.
-    fn settle<T: ConfigRecord>(
+    /// Applies a change that is correct on any version of the record, such as setting a
+    /// flag. Without an expected version, a conflict with another change is therefore
+    /// resolved by applying it to the newer record.
+    fn update<T: ConfigRecord>(
         &self,
         name: &str,
-        expected: Option<u64>,
+        expected_version: Option<u64>,
         change: impl Fn(&mut T),
     ) -> Result<Accepted, EditError> {
         let mut attempt = 1;
         loop {
             let old: Versioned<T> = self.read(name)?;
-            if expected.is_some_and(|version| version != old.version) {
+            if expected_version.is_some_and(|version| version != old.version) {
                 return Err(EditError::Conflict(describe::<T>(name)));
             }
             let mut new = old.value.clone();
@@ -178,7 +183,9 @@
                 });
             }
             match self.put(name, &new, old.version, Vec::new()) {
-                Err(EditError::Conflict(_)) if attempt < RACE_ATTEMPTS => attempt += 1,
+                Err(EditError::Conflict(_)) if attempt < MAX_UPDATE_ATTEMPTS => {
+                    attempt += 1
+                }
                 result => return result,
             }
         }
--- a/crates/store/src/configuration/feed.rs
+++ b/crates/store/src/configuration/feed.rs
@@ -1,4 +1,5 @@
-//! Keeps an instance's copy of the configuration up to date.
+//! Keeps an instance's copy of the configuration up to date, from the store and, during
+//! outages of the store, from peers.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,16 +11,16 @@
 
 use crate::Store;
 use crate::clock::Clock;
-use crate::configuration::follow::Follower;
+use crate::configuration::follow::FeedWorker;
 use crate::configuration::state::FeedState;
 use crate::record::Change;
 
-/// Deadlines of a feed.
+/// Polling and watch intervals of a feed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FeedSettings {
     /// How often the store is asked for the newest revision, in milliseconds.
     pub poll_interval_ms: u64,
-    /// A watch without a change for this long is replaced, in milliseconds.
+    /// Time without a change after which a watch is replaced, in milliseconds.
     pub watch_replace_ms: u64,
 }
 
@@ -32,12 +33,13 @@
     }
 }
 
-/// State shared by the feed's thread and its users.
+/// State shared by the feed's thread and the owner of the feed.
 pub(super) struct Shared {
     pub(super) clock: Arc<dyn Clock>,
     state: Mutex<FeedState>,
     updates: Sender<Arc<Configuration>>,
-    behind: AtomicBool,
+    /// A peer has reported a newer revision, so the store is asked at once.
+    poll_now: AtomicBool,
     closed: AtomicBool,
 }
 
@@ -46,9 +48,10 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Runs `action` and sends the new copy, if it returns one. Sending under the lock
-    /// keeps the copies on the channel in order.
-    fn emit(
+    /// Runs `action` and sends the new copy, if it returns one. The copy is sent under the
+    /// lock, so that the channel delivers copies in the order in which they were made.
+    /// Returns whether a copy was sent.
+    fn update(
         &self,
         action: impl FnOnce(&mut FeedState) -> Option<Arc<Configuration>>,
     ) -> bool {
@@ -60,15 +63,15 @@
     }
 
     pub(super) fn offer(&self, configuration: Configuration) -> bool {
-        self.emit(|state| state.offer(configuration))
+        self.update(|state| state.offer(configuration))
     }
 
     pub(super) fn apply(&self, changes: &[Change]) -> bool {
-        self.emit(|state| state.apply(changes))
+        self.update(|state| state.apply(changes))
     }
 
-    pub(super) fn vouch(&self, revision: u64, at_ms: u64) {
-        self.lock().vouch(revision, at_ms);
+    pub(super) fn confirm_current(&self, revision: u64, at_ms: u64) {
+        self.lock().confirm_current(revision, at_ms);
     }
 
     pub(super) fn revision(&self) -> Option<u64> {
@@ -79,9 +82,9 @@
         self.lock().is_behind(revision)
     }
 
-    /// Whether a peer has told of a newer revision since the last call.
-    pub(super) fn take_behind(&self) -> bool {
-        self.behind.swap(false, Ordering::SeqCst)
+    /// Whether a peer has reported a newer revision since the last call.
+    pub(super) fn take_poll_request(&self) -> bool {
+        self.poll_now.swap(false, Ordering::SeqCst)
     }
 
     pub(super) fn is_closed(&self) -> bool {
@@ -91,8 +94,8 @@
 
 /// Follows the configuration in the store on a thread of its own.
 ///
-/// The copies that [`ConfigurationFeed::updates`] delivers never go back to a lower
-/// revision, and a key that was withdrawn in one is withdrawn in all later ones.
+/// The revisions of the copies that [`ConfigurationFeed::updates`] delivers never decrease,
+/// and a key that is withdrawn in one copy is withdrawn in all later ones.
 pub struct ConfigurationFeed {
     shared: Arc<Shared>,
     updates: Receiver<Arc<Configuration>>,
@@ -100,11 +103,12 @@
 }
 
 impl ConfigurationFeed {
-    /// Starts to read and watch the store.
+    /// Starts the thread that reads and watches the store. Does not wait for the store,
+    /// which may be down.
     ///
     /// # Errors
     ///
-    /// Any error of starting the thread. The store may be down.
+    /// If the thread cannot be started.
     pub fn start(
         store: Arc<dyn Store>,
         clock: Arc<dyn Clock>,
@@ -115,13 +119,13 @@
             clock,
             state: Mutex::new(FeedState::new()),
             updates: sender,
-            behind: AtomicBool::new(false),
+            poll_now: AtomicBool::new(false),
             closed: AtomicBool::new(false),
         });
-        let follower = Follower::new(store, Arc::clone(&shared), settings);
+        let worker = FeedWorker::new(store, Arc::clone(&shared), settings);
         let thread = thread::Builder::new()
             .name("config-feed".into())
-            .spawn(move || follower.run())?;
+            .spawn(move || worker.run())?;
         Ok(ConfigurationFeed {
             shared,
             updates,
@@ -129,26 +133,30 @@
         })
     }
 
-    /// Delivers each new copy. Clones share one queue.
+    /// The channel that delivers each new copy. Clones of the receiver share one queue, so
+    /// each copy reaches only one of them.
     pub fn updates(&self) -> &Receiver<Arc<Configuration>> {
         &self.updates
     }
 
-    /// The newest copy, `None` until the store or a peer gave one.
+    /// The copy in use, `None` until the store or a peer has provided one.
     pub fn current(&self) -> Option<Arc<Configuration>> {
         self.shared.lock().current().cloned()
     }
 
-    /// Milliseconds since the store is known to have held nothing newer than the copy,
-    /// by its own answer or by that of a peer. `None` if that was never known.
+    /// Milliseconds since the store was last known to hold nothing newer than the copy, from
+    /// its own response or from the report of a peer. `None` if that was never known.
     pub fn store_contact_age_ms(&self) -> Option<u64> {
-        let vouched_at_ms = self.shared.lock().vouched_at_ms()?;
-        Some(self.shared.clock.now_ms().saturating_sub(vouched_at_ms))
+        let confirmed_at_ms = self.shared.lock().confirmed_at_ms()?;
+        Some(self.shared.clock.now_ms().saturating_sub(confirmed_at_ms))
     }
 
-    /// Takes the copy of a peer whose own contact with the store was
-    /// `contact_age_ms` ago when it answered. The caller adds the time since it asked.
-    /// Returns whether the copy in force changed.
+    /// Takes the configuration of a peer if it is newer than the copy.
+    ///
+    /// `contact_age_ms` is the peer's own [`store_contact_age_ms`] when it responded, plus
+    /// the time since it was asked, which the caller adds. Returns whether the copy changed.
+    ///
+    /// [`store_contact_age_ms`]: ConfigurationFeed::store_contact_age_ms
     pub fn offer_peer_snapshot(
         &self,
         configuration: Configuration,
@@ -160,33 +168,36 @@
         changed
     }
 
-    /// Takes the revision and contact age that a peer told in a heartbeat. If the peer
-    /// is ahead, the store is asked at once, and true is returned: its snapshot helps.
+    /// Takes the configuration revision and the store contact age that a peer reported in a
+    /// heartbeat. If the peer has a newer revision, the store is asked at once and true is
+    /// returned, so that the caller can request the peer's snapshot.
     pub fn note_peer_revision(&self, revision: u64, contact_age_ms: Option<u64>) -> bool {
-        let behind = self.shared.is_behind(revision);
-        if behind {
-            self.shared.behind.store(true, Ordering::SeqCst);
+        let is_behind = self.shared.is_behind(revision);
+        if is_behind {
+            self.shared.poll_now.store(true, Ordering::SeqCst);
         }
         let now_ms = self.shared.clock.now_ms();
         if let Some(at_ms) = contact_age_ms.and_then(|age_ms| now_ms.checked_sub(age_ms))
         {
-            self.shared.vouch(revision, at_ms);
+            self.shared.confirm_current(revision, at_ms);
         }
-        behind
+        is_behind
     }
 
-    /// Withdraws a key here, ahead of the store. Returns whether the copy changed.
+    /// Marks a key as withdrawn in this and all later copies of this instance, before the
+    /// store reports it. Returns whether the copy changed.
     pub fn withdraw(&self, hash: KeyHash) -> bool {
-        self.shared.emit(|state| state.withdraw(hash))
+        self.shared.update(|state| state.withdraw(hash))
     }
 
-    /// Keys that are withdrawn but have no record in the copy, so that the copy alone does
-    /// not tell of their withdrawal.
+    /// The keys that are known as withdrawn but have no record in the copy. A peer that
+    /// receives the copy must be told of them separately.
     pub fn withdrawn_without_record(&self) -> Vec<KeyHash> {
         self.shared.lock().withdrawn_without_record()
     }
 
-    /// Ends the watch and waits for the thread, at most one store deadline long.
+    /// Ends the thread and its watch, and waits for a store call in progress, which ends at
+    /// its deadline at the latest.
     pub fn close(self) {
         self.shared.closed.store(true, Ordering::SeqCst);
         let _ = self.thread.join();
--- a/crates/store/src/configuration/layout.rs
+++ b/crates/store/src/configuration/layout.rs
@@ -1,4 +1,7 @@
-//! Which store key holds which record, and how records become a [`Configuration`].
+//! The store keys of configuration records, and the conversion of store entries and
+//! changes to a [`Configuration`].
+//!
+//! The key of a record is `config/KIND/NAME`, and its value is the record as JSON.
 
 use std::collections::BTreeMap;
 
@@ -10,19 +13,20 @@
 
 use crate::record::{Change, Entry, Range};
 
-/// All configuration records have keys that start with this.
+/// The store keys of all configuration records start with this prefix.
 pub const CONFIG_PREFIX: &str = "config/";
 
-/// Written in the same transaction as each deletion of a record. Without it the newest
-/// revision under the prefix would not grow on a deletion, and polls would miss it.
+/// Store key written in the same transaction as each deletion of a record. Without this
+/// write, a deletion would not raise the newest revision under [`CONFIG_PREFIX`], and polls
+/// would miss it.
 pub const DELETED_KEY: &str = "config/deleted";
 
-/// A record type of the configuration.
+/// A type whose values are stored as configuration records.
 pub trait ConfigRecord: Clone + DeserializeOwned + PartialEq + Serialize {
-    /// The part of the store key between the prefix and the name.
+    /// The part of the store key between [`CONFIG_PREFIX`] and the name, in the plural.
     const KIND: &'static str;
 
-    /// What the record is called in messages to operators.
+    /// The name of the type in messages to operators, in the singular.
     const NOUN: &'static str;
 }
 
@@ -51,18 +55,19 @@
     const NOUN: &'static str = "route";
 }
 
-/// The store key of a record.
+/// The store key of the record of type `T` that is called `name`.
 pub fn record_key<T: ConfigRecord>(name: &str) -> String {
     format!("{CONFIG_PREFIX}{}/{name}", T::KIND)
 }
 
-/// The prefix of the store keys of all records of one type.
+/// The prefix of the store keys of all records of type `T`.
 pub fn kind_prefix<T: ConfigRecord>() -> String {
     format!("{CONFIG_PREFIX}{}/", T::KIND)
 }
 
-/// Builds the configuration from a read of the whole prefix. A record that cannot be
-/// read is left out and logged, so a malformed key is not accepted.
+/// Builds the configuration from a read of all keys under [`CONFIG_PREFIX`]. A record that
+/// cannot be decoded is left out and logged, so that a malformed customer key is not
+/// accepted from callers.
 pub fn configuration_of(range: &Range) -> Configuration {
     let mut configuration = Configuration::default();
     range
@@ -72,7 +77,8 @@
     configuration
 }
 
-/// Applies one change. Changes must come in the order of their revisions.
+/// Applies one change of the store to `configuration`. The caller passes the changes in
+/// the order of their revisions.
 pub fn apply(configuration: &mut Configuration, change: &Change) {
     match change {
         Change::Put(entry) => put(configuration, entry),
@@ -83,19 +89,21 @@
     }
 }
 
+/// Decodes `entry` into `configuration` and raises its revision. The previous record of
+/// the same key is removed first, so that it does not stay if the new one is malformed.
 fn put(configuration: &mut Configuration, entry: &Entry) {
     configuration.revision = configuration.revision.max(entry.mod_revision);
     remove(configuration, &entry.key);
-    let Some((kind, name)) = split(&entry.key) else {
+    let Some((kind, name)) = split_record_key(&entry.key) else {
         return;
     };
     let value = entry.value.as_slice();
     let result = match kind {
-        Customer::KIND => read_named(&mut configuration.customers, name, value),
-        CustomerKey::KIND => read_key(configuration, name, value),
-        Endpoint::KIND => read_endpoint(configuration, name, entry),
-        Profile::KIND => read_named(&mut configuration.profiles, name, value),
-        Route::KIND => read_named(&mut configuration.routes, name, value),
+        Customer::KIND => decode_named(&mut configuration.customers, name, value),
+        CustomerKey::KIND => decode_key(configuration, name, value),
+        Endpoint::KIND => decode_endpoint(configuration, name, entry),
+        Profile::KIND => decode_named(&mut configuration.profiles, name, value),
+        Route::KIND => decode_named(&mut configuration.routes, name, value),
         _ => Ok(()),
     };
     if let Err(error) = result {
@@ -106,7 +114,7 @@
     }
 }
 
-fn read_named<T: ConfigRecord>(
+fn decode_named<T: ConfigRecord>(
     records: &mut BTreeMap<String, T>,
     name: &str,
     value: &[u8],
@@ -115,18 +123,18 @@
     Ok(())
 }
 
-fn read_endpoint(
+fn decode_endpoint(
     configuration: &mut Configuration,
     name: &str,
     entry: &Entry,
 ) -> Result<(), serde_json::Error> {
-    read_named(&mut configuration.endpoints, name, &entry.value)?;
+    decode_named(&mut configuration.endpoints, name, &entry.value)?;
     let revisions = &mut configuration.endpoint_revisions;
     revisions.insert(name.to_string(), entry.mod_revision);
     Ok(())
 }
 
-fn read_key(
+fn decode_key(
     configuration: &mut Configuration,
     name: &str,
     value: &[u8],
@@ -140,7 +148,7 @@
 }
 
 fn remove(configuration: &mut Configuration, key: &str) {
-    let Some((kind, name)) = split(key) else {
+    let Some((kind, name)) = split_record_key(key) else {
         return;
     };
     match kind {
@@ -166,6 +174,8 @@
     }
 }
 
-fn split(key: &str) -> Option<(&str, &str)> {
+/// Splits `config/KIND/NAME` into kind and name. `None` for other keys, such as
+/// [`DELETED_KEY`].
+fn split_record_key(key: &str) -> Option<(&str, &str)> {
     key.strip_prefix(CONFIG_PREFIX)?.split_once('/')
 }
--- a/crates/store/src/configuration/mod.rs
+++ b/crates/store/src/configuration/mod.rs
@@ -1,8 +1,9 @@
 //! The configuration in the store: how instances follow it and how operators change it.
 //!
-//! Each entity is one record under [`CONFIG_PREFIX`]. Instances hold a copy that only
-//! moves forward ([`ConfigurationFeed`]); operators change single records by
-//! compare-and-swap ([`ConfigurationEditor`]).
+//! Each customer, key, endpoint, profile and route is one record under [`CONFIG_PREFIX`].
+//! Each instance holds a copy of all of them, whose revision never decreases
+//! ([`ConfigurationFeed`]). Operators change single records by compare-and-swap
+//! ([`ConfigurationEditor`]).
 
 pub mod change;
 pub mod editor;
--- a/crates/store/src/configuration/validate.rs
+++ b/crates/store/src/configuration/validate.rs
@@ -1,4 +1,6 @@
-//! Rules that a record must meet before it is written.
+//! Rules that a configuration record must meet before it is written.
+//!
+//! The messages go to operators in responses of the administration API.
 
 use std::net::SocketAddr;
 
@@ -9,29 +11,32 @@
 /// Longest name of a record, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// One request in thousandths.
+/// One request in thousandths of a request, the unit of `Customer::burst_mreq`.
 const ONE_REQUEST_MREQ: u64 = 1_000;
 
-/// Path prefixes that instances serve themselves.
+/// Paths that instances serve themselves. A route must not start with one of them.
 const RESERVED_PATHS: [&str; 3] = ["/healthz", "/readyz", "/v1"];
 
-/// Why a record may not be written, for the operator.
+/// Message to the operator about a record that must not be written.
 pub type Violation = String;
 
-/// A record that operators create and change as a whole.
+/// A record type that operators create and replace as a whole. Customer keys are not:
+/// they are created by [`ConfigurationEditor::create_key`] and can only be withdrawn.
+///
+/// [`ConfigurationEditor::create_key`]: crate::ConfigurationEditor::create_key
 pub trait Editable: ConfigRecord {
-    /// Checks the record by itself.
+    /// Checks the fields of the record, independent of what is stored.
     ///
     /// # Errors
     ///
-    /// What is wrong, naming the field.
+    /// The first rule that the record violates, naming the field.
     fn check(&self) -> Result<(), Violation>;
 
-    /// Checks that `self` may replace `old`.
+    /// Checks that `self` may replace the stored record `old`.
     ///
     /// # Errors
     ///
-    /// What is wrong, naming the field.
+    /// The first rule that the replacement violates.
     fn check_change(&self, _old: &Self) -> Result<(), Violation> {
         Ok(())
     }
@@ -44,19 +49,20 @@
     }
 }
 
-/// Checks the name of a record, instance, group or availability zone.
+/// Checks the name of a record, instance, group or availability zone. Names are parts of
+/// store keys, so they must not contain `/`.
 ///
 /// # Errors
 ///
-/// What is wrong with it.
+/// The form that a name must have.
 pub fn check_name(name: &str) -> Result<(), Violation> {
     let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit();
-    let starts_well = name.starts_with(allowed);
-    let rest = name
+    let valid_start = name.starts_with(allowed);
+    let valid_characters = name
         .chars()
         .all(|c| allowed(c) || matches!(c, '-' | '_' | '.'));
     let fits = name.len() <= MAX_NAME_BYTES;
-    match starts_well && rest && fits {
+    match valid_start && valid_characters && fits {
         true => Ok(()),
         false => Err(format!(
             "name {name:?} must have 1 to {MAX_NAME_BYTES} characters a-z, 0-9, '-', \
@@ -65,18 +71,19 @@
     }
 }
 
-/// Checks an `IP:PORT` address.
+/// Checks that `address` is an `IP:PORT` that can be connected to: no host name, no
+/// unspecified or multicast address, and no port 0.
 ///
 /// # Errors
 ///
-/// What is wrong with it.
+/// Which of these rules it violates.
 pub fn check_address(address: &str) -> Result<(), Violation> {
     let parsed: SocketAddr = address
         .parse()
         .map_err(|_| format!("address {address:?} is not an IP address and port"))?;
     let ip = parsed.ip();
-    let usable = parsed.port() != 0 && !ip.is_unspecified() && !ip.is_multicast();
-    match usable {
+    let connectable = parsed.port() != 0 && !ip.is_unspecified() && !ip.is_multicast();
+    match connectable {
         true => Ok(()),
         false => Err(format!("address {address:?} cannot be connected to")),
     }
@@ -164,13 +171,13 @@
         check_name(&self.availability_zone)
             .map_err(|why| format!("availability_zone: {why}"))?;
         require(self.slots >= 1, "slots must be at least 1")?;
-        let plain = self.kind == EndpointKind::PlainService;
+        let is_plain_service = self.kind == EndpointKind::PlainService;
         require(
-            !plain || self.models.is_empty(),
+            !is_plain_service || self.models.is_empty(),
             "a plain service serves no models",
         )?;
         require(
-            plain || !self.models.is_empty(),
+            is_plain_service || !self.models.is_empty(),
             "a model engine needs models",
         )?;
         check_models(&self.models)?;
@@ -207,9 +214,9 @@
         "path_prefix must be plain ASCII without '?', '#', '%' or '\\'",
     )?;
     let mut segments = path[1..].split('/');
-    let clean = path == "/" || segments.all(|s| !matches!(s, "" | "." | ".."));
+    let valid_segments = path == "/" || segments.all(|s| !matches!(s, "" | "." | ".."));
     require(
-        clean,
+        valid_segments,
         "path_prefix must not have empty, '.' or '..' segments",
     )?;
     let reserved = RESERVED_PATHS.iter().any(|reserved| {
--- a/crates/store/tests/feed.rs
+++ b/crates/store/tests/feed.rs
@@ -240,14 +240,14 @@
 #[test]
 fn contact_counts_only_for_a_copy_that_is_new_enough() {
     let mut state = FeedState::new();
-    state.vouch(0, 10);
-    assert_eq!(state.vouched_at_ms(), None);
+    state.confirm_current(0, 10);
+    assert_eq!(state.confirmed_at_ms(), None);
     state.offer(at_revision(5, false));
-    state.vouch(6, 20);
-    assert_eq!(state.vouched_at_ms(), None);
-    state.vouch(5, 30);
-    state.vouch(4, 25);
-    assert_eq!(state.vouched_at_ms(), Some(30));
+    state.confirm_current(6, 20);
+    assert_eq!(state.confirmed_at_ms(), None);
+    state.confirm_current(5, 30);
+    state.confirm_current(4, 25);
+    assert_eq!(state.confirmed_at_ms(), Some(30));
 }
 
 /// Guards against an age of contact that does not grow during an outage.
