--- a/crates/store/tests/editor.rs
+++ b/crates/store/tests/editor.rs
@@ -1,4 +1,5 @@
-//! Operator changes: races, lost answers and the rules for records.
+//! Tests of configuration changes by operators: races, lost responses and the rules for
+//! records.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,14 +17,17 @@
 };
 use test_case::test_case;
 
-const GENEROUS: Duration = Duration::from_secs(30);
-const TXN: &str = "/v3/kv/txn";
+/// Far more than any step takes; reached only if the test fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+const TXN_PATH: &str = "/v3/kv/txn";
 
+/// A gateway to an empty store.
 fn gateway() -> StoreGateway {
     let address: SocketAddr = "127.0.0.1:0".parse().unwrap();
     StoreGateway::start(address, MemoryStore::new()).unwrap()
 }
 
+/// An editor that gives up soon after a lost response.
 fn editor(store: impl Store + 'static) -> ConfigurationEditor {
     let settings = EditorSettings {
         resolve_attempts: 3,
@@ -70,21 +74,22 @@
 }
 
 fn wait_until(what: &str, condition: impl Fn() -> bool) {
-    let deadline = Instant::now() + GENEROUS;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !condition() {
         assert!(Instant::now() < deadline, "{what} did not happen");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Guards against reporting an accepted change as not accepted after a lost answer.
+/// Guards against reporting an accepted change as not accepted. The gateway applies the
+/// change and loses the response.
 #[test]
-fn lost_answer_is_found_accepted() {
+fn change_with_a_lost_response_is_reported_as_accepted() {
     let gateway = gateway();
     let editor = remote_editor(&gateway);
     gateway.faults().set(Faults {
         lose_answers: 1,
-        lose_path: TXN.into(),
+        lose_path: TXN_PATH.into(),
         ..Faults::default()
     });
     let accepted = editor.create("acme", &customer()).unwrap();
@@ -93,34 +98,36 @@
     gateway.close();
 }
 
-/// Guards against reporting "not accepted" for a change that takes effect later.
+/// Guards against reporting "not accepted" for a change that is applied later. The request
+/// reaches the store 300 ms late, after the editor has cancelled the change.
 #[test]
-fn late_request_after_not_accepted_changes_nothing() {
+fn delayed_request_of_a_cancelled_change_has_no_effect() {
     let gateway = gateway();
     let editor = remote_editor(&gateway);
     gateway.faults().set(Faults {
         lose_requests: 1,
         late_ms: 300,
-        lose_path: TXN.into(),
+        lose_path: TXN_PATH.into(),
         ..Faults::default()
     });
     let result = editor.create("acme", &customer());
     assert!(matches!(result, Err(EditError::Store(_))), "{result:?}");
-    let txns = || gateway.runs().paths.get("POST /v3/kv/txn").copied();
-    wait_until("the late request", || txns() == Some(2));
+    let transactions = || gateway.runs().paths.get("POST /v3/kv/txn").copied();
+    wait_until("the delayed request", || transactions() == Some(2));
     let stored = editor.read::<Customer>("acme");
     assert!(matches!(stored, Err(EditError::NotFound(_))), "{stored:?}");
     gateway.close();
 }
 
-/// Guards against guessing an outcome while the store does not answer.
+/// Guards against reporting a definite outcome although the store has not responded since
+/// the change was sent.
 #[test]
-fn outage_after_a_change_leaves_it_unknown() {
+fn outage_after_a_change_leaves_its_outcome_unknown() {
     let gateway = gateway();
     let editor = remote_editor(&gateway);
     gateway.faults().set(Faults {
         lose_requests: 1_000,
-        lose_path: TXN.into(),
+        lose_path: TXN_PATH.into(),
         ..Faults::default()
     });
     let result = editor.create("acme", &customer()).unwrap_err();
@@ -129,28 +136,30 @@
     gateway.close();
 }
 
-/// Guards against an unknown outcome where the store was certainly not reached.
+/// Guards against reporting an unknown outcome although the store was certainly not reached.
 #[test]
-fn refused_connection_is_not_accepted() {
+fn change_is_not_accepted_if_the_connection_is_refused() {
     let gateway = gateway();
     let editor = remote_editor(&gateway);
     gateway.faults().set(Faults {
         down: Down::Refuse,
         ..Faults::default()
     });
-    wait_until("the refusal", || editor.list::<Customer>().is_err());
+    wait_until("a refused connection", || {
+        editor.list::<Customer>().is_err()
+    });
     let result = editor.create("acme", &customer()).unwrap_err();
     assert!(result.is_not_accepted(), "{result:?}");
     gateway.close();
 }
 
-/// Guards against two operators both told that their change of one version is accepted,
-/// also when answers are lost and when both write the same value.
+/// Guards against telling two operators that both their changes of the same version are
+/// accepted, also when responses are lost and when both write the same value.
 #[test_case(0, false; "different values")]
 #[test_case(0, true; "same value")]
-#[test_case(1, true; "same value with a lost answer")]
-#[test_case(2, false; "different values with two lost answers")]
-fn racing_changes_are_not_both_accepted(lose_answers: u64, same: bool) {
+#[test_case(1, true; "same value with a lost response")]
+#[test_case(2, false; "different values with two lost responses")]
+fn only_one_of_two_concurrent_changes_is_accepted(lose_answers: u64, same_value: bool) {
     let gateway = gateway();
     let first = remote_editor(&gateway);
     let second = remote_editor(&gateway);
@@ -159,7 +168,7 @@
         let version = first.read::<Profile>("standard").unwrap().version;
         gateway.faults().set(Faults {
             lose_answers,
-            lose_path: TXN.into(),
+            lose_path: TXN_PATH.into(),
             ..Faults::default()
         });
         let change = |editor: &ConfigurationEditor, max_turns: u32| {
@@ -169,10 +178,10 @@
             };
             editor.change("standard", &profile, version)
         };
-        let other = if same { round + 1 } else { round + 1_000 };
+        let other = if same_value { round + 1 } else { round + 1_000 };
         let results = thread::scope(|scope| {
-            let racing = scope.spawn(|| change(&second, other));
-            [change(&first, round + 1), racing.join().unwrap()]
+            let concurrent = scope.spawn(|| change(&second, other));
+            [change(&first, round + 1), concurrent.join().unwrap()]
         });
         let accepted = results.iter().filter(|result| result.is_ok()).count();
         assert_eq!(accepted, 1, "round {round}: {results:?}");
@@ -180,7 +189,7 @@
     gateway.close();
 }
 
-/// Guards against a change based on an old version that undoes a newer one.
+/// Guards against a change based on an old version that overwrites a newer change.
 #[test]
 fn change_of_an_old_version_is_a_conflict() {
     let editor = editor(MemoryStore::new());
@@ -190,10 +199,10 @@
     assert!(matches!(result, Err(EditError::Conflict(_))), "{result:?}");
 }
 
-/// Guards against key texts in the store or in debug output, and against keys of
+/// Guards against customer keys in the store or in debug output, and against keys for
 /// customers that do not exist.
 #[test]
-fn key_is_shown_once_and_stored_as_hash() {
+fn key_is_returned_once_and_stored_as_hash() {
     let store = MemoryStore::new();
     let editor = editor(store.clone());
     let missing = editor.create_key("acme");
@@ -202,20 +211,24 @@
         "{missing:?}"
     );
     editor.create("acme", &customer()).unwrap();
-    let given = editor.create_key("acme").unwrap();
-    assert_eq!(KeyHash::of_key(&given.key), given.hash);
-    assert!(!format!("{given:?}").contains(&given.key));
+    let created = editor.create_key("acme").unwrap();
+    assert_eq!(KeyHash::of_key(&created.key), created.hash);
+    assert!(!format!("{created:?}").contains(&created.key));
     for entry in store.range("").unwrap().entries {
         let text = format!("{} {}", entry.key, String::from_utf8_lossy(&entry.value));
-        assert!(!text.contains(&given.key), "{} holds the key", entry.key);
+        assert!(
+            !text.contains(&created.key),
+            "{} contains the key",
+            entry.key
+        );
     }
     let listed = editor.list::<CustomerKey>().unwrap();
-    assert_eq!(listed[0].0, given.hash.to_string());
+    assert_eq!(listed[0].0, created.hash.to_string());
 }
 
 /// Guards against a withdrawn key that becomes valid again.
 #[test]
-fn withdrawal_is_final() {
+fn withdrawal_is_permanent() {
     let editor = editor(MemoryStore::new());
     editor.create("acme", &customer()).unwrap();
     let hash = editor.create_key("acme").unwrap().hash;
@@ -232,43 +245,53 @@
     );
 }
 
-/// Guards against retired profiles that vanish, come back or lose their name.
+/// Guards against retired profiles that are deleted or reactivated, or whose name is used
+/// for a new profile.
 #[test]
-fn retired_profile_stays() {
+fn retired_profile_stays_retired() {
     let editor = editor(MemoryStore::new());
     editor.create("old", &Profile::default()).unwrap();
     let version = editor.retire_profile("old", None).unwrap().revision;
-    let back = editor.change("old", &Profile::default(), version);
-    assert!(matches!(back, Err(EditError::Invalid(_))), "{back:?}");
-    let again = editor.create("old", &Profile::default());
+    let reactivated = editor.change("old", &Profile::default(), version);
+    assert!(
+        matches!(reactivated, Err(EditError::Invalid(_))),
+        "{reactivated:?}"
+    );
+    let recreated = editor.create("old", &Profile::default());
     assert!(
-        matches!(again, Err(EditError::AlreadyExists(_))),
-        "{again:?}"
+        matches!(recreated, Err(EditError::AlreadyExists(_))),
+        "{recreated:?}"
     );
     assert!(editor.read::<Profile>("old").unwrap().value.retired);
 }
 
-// Guards against records that order an engine to load what no call can name.
+/// Guards against endpoint records that make an engine load a model version or an adapter
+/// that no call can name.
 #[test_case("versions", "other", "2"; "version of another model")]
 #[test_case("versions", "m1", ""; "empty version")]
 #[test_case("adapters", "a1", "other"; "adapter of another model")]
 #[test_case("adapters", "m1", "m1"; "adapter with the name of a model")]
 #[test_case("adapters", "a 1", "m1"; "adapter name with a space")]
-fn endpoint_with_unfit_models_is_refused(field: &str, name: &str, value: &str) {
+fn endpoint_with_invalid_versions_or_adapters_is_rejected(
+    field: &str,
+    name: &str,
+    value: &str,
+) {
     let editor = editor(MemoryStore::new());
-    let mut unfit = endpoint();
+    let mut invalid = endpoint();
     let pairs = match field {
-        "versions" => &mut unfit.versions,
-        _ => &mut unfit.adapters,
+        "versions" => &mut invalid.versions,
+        _ => &mut invalid.adapters,
     };
     pairs.insert(name.to_string(), value.to_string());
-    let outcome = editor.create("w1", &unfit);
+    let outcome = editor.create("w1", &invalid);
     assert!(matches!(outcome, Err(EditError::Invalid(_))), "{outcome:?}");
 }
 
-// Guards against orders whose fencing number is not the revision of their record.
+/// Guards against load requests to an engine whose fencing number is not the revision at
+/// which the endpoint's record was last written. Changes of other records do not count.
 #[test]
-fn revision_of_an_endpoint_is_that_of_its_last_change() {
+fn endpoint_revision_is_that_of_its_last_change() {
     let store = MemoryStore::new();
     let editor = editor(store.clone());
     let created = editor.create("w1", &endpoint()).unwrap().revision;
@@ -284,9 +307,9 @@
     assert_eq!(revision(), Some(changed));
 }
 
-/// Guards against an endpoint that returns from removal by a drain.
+/// Guards against draining a removed endpoint, which would undo the removal.
 #[test]
-fn removed_endpoint_is_not_drained() {
+fn removed_endpoint_cannot_be_drained() {
     let editor = editor(MemoryStore::new());
     editor.create("w1", &endpoint()).unwrap();
     editor.drain_endpoint("w1").unwrap();
@@ -298,10 +321,10 @@
     assert_eq!(state(&editor), EndpointState::Removed);
 }
 
-/// Guards against an operator's retirement or removal of a record that somebody else has
-/// changed since it was read.
+/// Guards against retiring or removing a record that somebody else has changed since the
+/// operator read the given version.
 #[test]
-fn named_version_is_the_only_one_that_is_retired_or_removed() {
+fn retirement_and_removal_with_an_old_version_are_conflicts() {
     let editor = editor(MemoryStore::new());
     let read = editor.create("old", &Profile::default()).unwrap().revision;
     let changed = Profile {
@@ -309,18 +332,24 @@
         ..Profile::default()
     };
     let newer = editor.change("old", &changed, read).unwrap().revision;
-    let late = editor.retire_profile("old", Some(read));
-    assert!(matches!(late, Err(EditError::Conflict(_))), "{late:?}");
+    let outdated = editor.retire_profile("old", Some(read));
+    assert!(
+        matches!(outdated, Err(EditError::Conflict(_))),
+        "{outdated:?}"
+    );
     assert!(!editor.read::<Profile>("old").unwrap().value.retired);
     assert!(editor.retire_profile("old", Some(newer)).unwrap().changed);
 
     let read = editor.create("w1", &endpoint()).unwrap().revision;
     editor.drain_endpoint("w1").unwrap();
-    let late = editor.remove_endpoint("w1", Some(read));
-    assert!(matches!(late, Err(EditError::Conflict(_))), "{late:?}");
+    let outdated = editor.remove_endpoint("w1", Some(read));
+    assert!(
+        matches!(outdated, Err(EditError::Conflict(_))),
+        "{outdated:?}"
+    );
 }
 
-/// Guards against a deletion that polls of the newest revision cannot see.
+/// Guards against a deletion that does not raise the newest revision, so that polls miss it.
 #[test]
 fn deletion_raises_the_newest_revision() {
     let store = MemoryStore::new();
@@ -331,30 +360,30 @@
     assert_eq!(store.newest_revision(CONFIG_PREFIX), Ok(deleted.revision));
 }
 
-/// Guards against names that break store keys or listings.
+/// Guards against record names that make store keys or listings ambiguous.
 #[test_case(""; "empty")]
 #[test_case("a/b"; "separator")]
 #[test_case("Acme"; "upper case")]
 #[test_case("-a"; "starts with a dash")]
 #[test_case("ä"; "not ASCII")]
-fn bad_name_is_refused(name: &str) {
+fn invalid_name_is_rejected(name: &str) {
     let result = editor(MemoryStore::new()).create(name, &customer());
     assert!(matches!(result, Err(EditError::Invalid(_))), "{result:?}");
 }
 
-/// Guards against addresses that endpoints cannot have.
+/// Guards against endpoint addresses that cannot be connected to.
 #[test_case("example.org:80"; "host name")]
 #[test_case("10.0.0.1"; "no port")]
 #[test_case("10.0.0.1:0"; "port zero")]
 #[test_case("0.0.0.0:80"; "unspecified")]
-fn bad_address_is_refused(address: &str) {
+fn invalid_address_is_rejected(address: &str) {
     let mut record = endpoint();
     record.address = address.into();
     let result = editor(MemoryStore::new()).create("w1", &record);
     assert!(matches!(result, Err(EditError::Invalid(_))), "{result:?}");
 }
 
-/// Guards against routes that shadow the API or that no path can match.
+/// Guards against routes that hide jayreel's own paths or that no request path can match.
 #[test_case("files"; "relative")]
 #[test_case("/v1/chat"; "reserved")]
 #[test_case("/healthz"; "probe")]
@@ -362,7 +391,7 @@
 #[test_case("/a/"; "trailing slash")]
 #[test_case("/a/../b"; "parent segment")]
 #[test_case("/a?b"; "query")]
-fn bad_path_is_refused(path: &str) {
+fn invalid_path_prefix_is_rejected(path: &str) {
     let result = editor(MemoryStore::new()).create("r", &route(path));
     assert!(matches!(result, Err(EditError::Invalid(_))), "{result:?}");
 }
--- a/crates/store/tests/editor_refusal.rs
+++ b/crates/store/tests/editor_refusal.rs
@@ -1,4 +1,5 @@
-//! Operator changes over a store that fails in the middle of a change.
+//! Tests of configuration changes in a store that fails between the grant of the lease and
+//! the transaction.
 
 use std::sync::Arc;
 
@@ -9,10 +10,10 @@
 };
 use test_case::test_case;
 
-/// Grants leases and refuses transactions with the given error.
-struct Refusing(MemoryStore, StoreError);
+/// A store whose transactions all fail with the given error. Other calls succeed.
+struct FailingCommits(MemoryStore, StoreError);
 
-impl Store for Refusing {
+impl Store for FailingCommits {
     fn get(&self, key: &str) -> Result<Option<Entry>, StoreError> {
         self.0.get(key)
     }
@@ -46,17 +47,21 @@
     }
 }
 
-/// Guards against mixing up errors that say "not made" with those that say nothing.
+/// Guards against reporting "not accepted" after a store error that does not tell whether
+/// the change was made, and "unknown" after one that says that it was not.
 #[test_case(StoreError::Unavailable("refused".into()), true)]
 #[test_case(StoreError::Rejected("lease not found".into()), true)]
 #[test_case(StoreError::OutcomeUnknown("reset".into()), false)]
 #[test_case(StoreError::Protocol("no JSON".into()), false)]
-fn error_of_the_change_decides(error: StoreError, is_not_accepted: bool) {
+fn store_error_decides_whether_the_outcome_is_known(
+    error: StoreError,
+    is_not_accepted: bool,
+) {
     let settings = EditorSettings {
         resolve_attempts: 2,
         resolve_pause_ms: 0,
     };
-    let store = Arc::new(Refusing(MemoryStore::new(), error));
+    let store = Arc::new(FailingCommits(MemoryStore::new(), error));
     let editor = ConfigurationEditor::new(store, settings);
     let customer = Customer {
         rate_mreq_per_s: 5_000,
--- a/crates/store/tests/etcd.rs
+++ b/crates/store/tests/etcd.rs
@@ -1,4 +1,4 @@
-//! The etcd client against the stand-in gateway: operations, deadlines and errors.
+//! Tests of the etcd client with a substitute gateway: operations, deadlines and errors.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,14 +10,16 @@
 };
 use test_case::test_case;
 
-const GENEROUS: Duration = Duration::from_secs(30);
+/// Far more than any step takes; reached only if the test fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-fn local() -> SocketAddr {
+/// A loopback address with a port that the operating system chooses.
+fn any_local_port() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
 fn gateway() -> StoreGateway {
-    StoreGateway::start(local(), MemoryStore::new()).unwrap()
+    StoreGateway::start(any_local_port(), MemoryStore::new()).unwrap()
 }
 
 fn client(gateway: &StoreGateway) -> EtcdStore {
@@ -25,6 +27,7 @@
     EtcdStore::new(settings).unwrap()
 }
 
+/// A transaction that writes `key` if it is at `revision`, where 0 means absent.
 fn put(key: &str, revision: u64, value: &str, lease: Option<LeaseId>) -> Transaction {
     Transaction {
         conditions: vec![Condition::ModRevision {
@@ -39,8 +42,9 @@
     }
 }
 
+/// The next changes, or an empty list if none arrive within [`TEST_TIMEOUT`].
 fn next_changes(watch: &mut dyn Watch) -> Result<Vec<Change>, StoreError> {
-    let deadline = Instant::now() + GENEROUS;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
         let changes = watch.next(Duration::from_millis(50))?;
         if !changes.is_empty() || Instant::now() > deadline {
@@ -55,9 +59,9 @@
     let gateway = gateway();
     let store = client(&gateway);
     let first = store.commit(put("a", 0, "1", None)).unwrap();
-    let again = store.commit(put("a", 0, "2", None)).unwrap();
+    let second = store.commit(put("a", 0, "2", None)).unwrap();
     let entry = store.get("a").unwrap().unwrap();
-    assert!(first.succeeded && !again.succeeded);
+    assert!(first.succeeded && !second.succeeded);
     assert_eq!(
         (entry.value, entry.mod_revision),
         (b"1".to_vec(), first.revision)
@@ -65,7 +69,7 @@
     gateway.close();
 }
 
-/// Guards against ranges that miss keys or take in neighbours of the prefix.
+/// Guards against range reads that miss keys or return keys next to the prefix.
 #[test]
 fn range_returns_exactly_the_prefix() {
     let gateway = gateway();
@@ -83,9 +87,10 @@
     gateway.close();
 }
 
-/// Guards against keys that outlive their lease, and against renewing an ended lease.
+/// Guards against keys that outlive their lease, and against renewals and writes that
+/// succeed with a revoked lease.
 #[test]
-fn lease_ends_with_its_keys() {
+fn revoking_a_lease_deletes_its_keys() {
     let gateway = gateway();
     let store = client(&gateway);
     let lease = store.grant_lease(10).unwrap();
@@ -101,10 +106,10 @@
     assert_eq!(store.revoke_lease(lease), Ok(()));
     assert_eq!(store.renew_lease(lease), Ok(false));
     assert_eq!(store.get("i/a"), Ok(None));
-    let refused = store.commit(put("i/a", 0, "v", Some(lease)));
+    let rejected = store.commit(put("i/a", 0, "v", Some(lease)));
     assert!(
-        matches!(refused, Err(StoreError::Rejected(_))),
-        "{refused:?}"
+        matches!(rejected, Err(StoreError::Rejected(_))),
+        "{rejected:?}"
     );
     gateway.close();
 }
@@ -125,7 +130,7 @@
     let mut seen = Vec::new();
     while seen.len() < 2 {
         let changes = next_changes(watch.as_mut()).unwrap();
-        assert!(!changes.is_empty(), "no change within the limit");
+        assert!(!changes.is_empty(), "no change before the timeout");
         seen.extend(changes);
     }
     assert_eq!(seen[0].revision(), first);
@@ -135,7 +140,7 @@
     gateway.close();
 }
 
-/// Guards against a watch that silently starts after a gap.
+/// Guards against a watch that silently skips the changes that were compacted.
 #[test]
 fn watch_from_compacted_revision_fails() {
     let gateway = gateway();
@@ -150,9 +155,9 @@
     gateway.close();
 }
 
-/// Guards against reporting a change as not made although its answer was only lost.
+/// Guards against reporting a change as not made although only its response was lost.
 #[test]
-fn lost_answer_leaves_the_outcome_unknown() {
+fn lost_response_leaves_the_outcome_unknown() {
     let gateway = gateway();
     let store = client(&gateway);
     gateway.faults().set(Faults {
@@ -169,10 +174,11 @@
     gateway.close();
 }
 
-/// Guards against calls that hang on a silent connection, and against reusing it.
+/// Guards against calls that wait without limit on a connection that stays open but does not
+/// respond, and against reusing that connection.
 #[test_case(false; "connections open at that time")]
 #[test_case(true; "all connections")]
-fn silent_connection_ends_calls(freeze: bool) {
+fn call_on_an_unresponsive_connection_fails(freeze: bool) {
     let gateway = gateway();
     let mut settings = EtcdSettings::new(vec![gateway.address().to_string()]);
     settings.first_byte_timeout_ms = 500;
@@ -193,9 +199,10 @@
     gateway.close();
 }
 
-/// Guards against calling a change certain not to be made after it was sent.
+/// Guards against reporting an unknown outcome, or counting a call, although the connection
+/// was refused and nothing was sent.
 #[test]
-fn refused_connection_means_not_made() {
+fn refused_connection_means_that_nothing_was_changed() {
     let gateway = gateway();
     let store = client(&gateway);
     let address = gateway.address();
@@ -219,19 +226,20 @@
     );
 }
 
-/// Guards against an outage of one member that stops the client.
+/// Guards against a client that fails when one member of the cluster is down.
 #[test]
-fn next_address_is_used_when_one_refuses() {
-    let gone = gateway();
-    let alive = gateway();
-    let addresses = vec![gone.address().to_string(), alive.address().to_string()];
-    gone.close();
+fn next_address_is_used_if_a_connection_is_refused() {
+    let down = gateway();
+    let up = gateway();
+    let addresses = vec![down.address().to_string(), up.address().to_string()];
+    down.close();
     let store = EtcdStore::new(EtcdSettings::new(addresses)).unwrap();
     assert!(store.commit(put("a", 0, "1", None)).unwrap().succeeded);
-    alive.close();
+    up.close();
 }
 
-/// Guards against a connection closed in the middle of a change counting as not made.
+/// Guards against reporting a change as not made because the connection was closed after
+/// the change was sent.
 #[test]
 fn closed_connection_leaves_the_outcome_unknown() {
     let gateway = gateway();
@@ -248,9 +256,10 @@
     gateway.close();
 }
 
-/// Guards against a watch that waits without end on a silent connection.
+/// Guards against a watch that waits without limit on a connection that stays open but
+/// delivers nothing.
 #[test]
-fn silent_watch_ends_after_the_progress_deadline() {
+fn watch_without_received_bytes_fails_after_the_time_limit() {
     let gateway = gateway();
     let mut settings = EtcdSettings::new(vec![gateway.address().to_string()]);
     settings.watch_progress_ms = 400;
@@ -269,7 +278,7 @@
     gateway.close();
 }
 
-/// Guards against calls that the platform charges for and nobody counts.
+/// Guards against calls that the platform charges for but the client does not count.
 #[test]
 fn calls_are_counted_by_kind() {
     let gateway = gateway();
--- a/crates/store/tests/feed.rs
+++ b/crates/store/tests/feed.rs
@@ -1,4 +1,5 @@
-//! The configuration feed: silent watches, outages, peers and revisions.
+//! Tests of the configuration feed: watches that stop delivering, outages of the store,
+//! configurations from peers, and revisions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,14 +14,18 @@
     FeedSettings, ManualClock, MemoryStore, Store, SystemClock,
 };
 
-const GENEROUS: Duration = Duration::from_secs(30);
+/// Far more than any step takes; reached only if the test fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 const HOUR_MS: u64 = 3_600_000;
 
+/// A gateway to an empty store.
 fn gateway() -> StoreGateway {
     let address: SocketAddr = "127.0.0.1:0".parse().unwrap();
     StoreGateway::start(address, MemoryStore::new()).unwrap()
 }
 
+/// A feed with a short timeout for silent connections, which does not replace its watch for
+/// lack of changes during a test.
 fn feed(gateway: &StoreGateway, poll_interval_ms: u64) -> ConfigurationFeed {
     let mut settings = EtcdSettings::new(vec![gateway.address().to_string()]);
     settings.first_byte_timeout_ms = 500;
@@ -32,7 +37,7 @@
     ConfigurationFeed::start(store, Arc::new(SystemClock::new()), settings).unwrap()
 }
 
-/// Edits the store behind the gateway, which may be down.
+/// Edits the store behind the gateway directly, so that it works while the gateway is down.
 fn editor(gateway: &StoreGateway) -> ConfigurationEditor {
     let store: Arc<dyn Store> = Arc::new(gateway.store().clone());
     ConfigurationEditor::new(store, EditorSettings::default())
@@ -55,6 +60,7 @@
     }
 }
 
+/// A configuration at `revision` with the key `k`.
 fn at_revision(revision: u64, withdrawn: bool) -> Configuration {
     let key = CustomerKey {
         customer: "acme".into(),
@@ -72,7 +78,7 @@
 }
 
 fn wait_until(what: &str, condition: impl Fn() -> bool) {
-    let deadline = Instant::now() + GENEROUS;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !condition() {
         assert!(Instant::now() < deadline, "{what} did not happen");
         thread::sleep(Duration::from_millis(5));
@@ -90,19 +96,19 @@
     wait_until("the first copy", || feed.current().is_some());
 }
 
-/// Waits until a change arrived, with rare polls only by the watch, and then silences
-/// the connections that are open.
-fn silence_watch(gateway: &StoreGateway, feed: &ConfigurationFeed, sentinel: &str) {
+/// Waits until the feed delivers a new customer `name`, so that its watch is open, and then
+/// makes the gateway stop sending on all open connections without closing them.
+fn silence_watch(gateway: &StoreGateway, feed: &ConfigurationFeed, name: &str) {
     wait_for_copy(feed);
-    editor(gateway).create(sentinel, &customer()).unwrap();
-    wait_for_customer(feed, sentinel);
+    editor(gateway).create(name, &customer()).unwrap();
+    wait_for_customer(feed, name);
     gateway.faults().set(Faults {
         silence_open_connections: true,
         ..Faults::default()
     });
 }
 
-/// Guards against a feed that sees changes only by polling.
+/// Guards against a feed that notices changes only by polling. It polls once an hour here.
 #[test]
 fn watch_delivers_changes() {
     let gateway = gateway();
@@ -117,9 +123,10 @@
     gateway.close();
 }
 
-/// Guards against a watch that went silent and hides changes and deletions for good.
+/// Guards against a feed that never learns of changes and deletions because its watch stops
+/// delivering while the connection stays open.
 #[test]
-fn silent_watch_is_found_by_polling() {
+fn polling_replaces_a_watch_that_stopped_delivering() {
     let gateway = gateway();
     let editor = editor(&gateway);
     let created = editor.create("files", &route()).unwrap();
@@ -134,10 +141,10 @@
     gateway.close();
 }
 
-/// Guards against a feed that does not recover from an outage, or that misses changes
-/// made meanwhile whose log is compacted.
+/// Guards against a feed that does not recover from an outage, or that misses changes that
+/// were made and compacted during the outage, so that a watch cannot deliver them.
 #[test]
-fn outage_and_return() {
+fn feed_recovers_from_an_outage_with_a_compaction() {
     let gateway = gateway();
     let feed = feed(&gateway, 50);
     wait_for_copy(&feed);
@@ -157,9 +164,10 @@
     gateway.close();
 }
 
-/// Guards against an instance that cannot start, or goes back, while the store is down.
+/// Guards against an instance that gets no configuration, or returns to an older one, while
+/// the store is down and only peers can provide it.
 #[test]
-fn peer_snapshots_replace_a_store_that_is_down() {
+fn peers_provide_the_configuration_while_the_store_is_down() {
     let gateway = gateway();
     gateway.faults().set(Faults {
         down: Down::Refuse,
@@ -177,25 +185,26 @@
     gateway.close();
 }
 
-/// Guards against taking a store that lost its newest changes for the truth.
+/// Guards against replacing the copy by the older configuration of a store that has lost its
+/// newest changes.
 #[test]
-fn store_behind_the_copy_is_not_applied() {
+fn store_that_is_behind_the_copy_is_ignored() {
     let gateway = gateway();
     editor(&gateway).create("acme", &customer()).unwrap();
     let feed = feed(&gateway, 20);
     wait_for_customer(&feed, "acme");
     feed.offer_peer_snapshot(at_revision(1_000, false), None);
-    let asked = || gateway.runs().paths["POST /v3/kv/range"];
-    let before = asked();
-    wait_until("more polls", || asked() > before + 5);
+    let reads = || gateway.runs().paths["POST /v3/kv/range"];
+    let before = reads();
+    wait_until("more polls", || reads() > before + 5);
     assert_eq!(feed.current().unwrap().revision, 1_000);
     feed.close();
     gateway.close();
 }
 
-/// Guards against waiting for the next poll although a peer is ahead.
+/// Guards against waiting for the next poll although a peer has reported a newer revision.
 #[test]
-fn peer_that_is_ahead_causes_a_read() {
+fn newer_revision_at_a_peer_causes_a_read() {
     let gateway = gateway();
     let feed = feed(&gateway, HOUR_MS);
     silence_watch(&gateway, &feed, "first");
@@ -207,38 +216,46 @@
     gateway.close();
 }
 
-/// Guards against a withdrawal that an older or equal copy undoes or hides.
+/// Guards against a withdrawn key that becomes valid again with a later copy, and against
+/// ignoring a withdrawal in a configuration that is older than the copy.
 #[test]
 fn withdrawal_is_never_undone() {
     let mut state = FeedState::new();
     state.offer(at_revision(5, false)).unwrap();
-    let learned = state
+    let updated = state
         .offer(at_revision(4, true))
-        .expect("a withdrawal to apply");
-    assert_eq!((learned.revision, is_withdrawn(&learned)), (5, true));
+        .expect("a new copy with the withdrawal");
+    assert_eq!((updated.revision, is_withdrawn(&updated)), (5, true));
     let newer = state.offer(at_revision(6, false)).unwrap();
     assert!(is_withdrawn(&newer));
-    let mut direct = FeedState::new();
-    direct.withdraw(KeyHash::of_key("k"));
-    assert!(is_withdrawn(&direct.offer(at_revision(1, false)).unwrap()));
+    let mut without_copy = FeedState::new();
+    without_copy.withdraw(KeyHash::of_key("k"));
+    assert!(is_withdrawn(
+        &without_copy.offer(at_revision(1, false)).unwrap()
+    ));
 }
 
-/// Guards against a withdrawal that a new instance does not learn with the copy of a peer,
-/// because the copy is older than the key.
+/// Guards against a new instance that does not learn of a withdrawal, because it gets the
+/// copy of a peer and that is older than the record of the key.
 #[test]
-fn withdrawals_that_the_copy_does_not_show_are_told_apart() {
+fn withdrawn_keys_without_a_record_are_listed() {
     let mut state = FeedState::new();
     state.withdraw(KeyHash::of_key("k"));
     state.withdraw(KeyHash::of_key("newer"));
-    let hidden = state.withdrawn_without_record();
-    assert_eq!(hidden.len(), 2, "without a copy: {hidden:?}");
+    let without_record = state.withdrawn_without_record();
+    assert_eq!(
+        without_record.len(),
+        2,
+        "without a copy: {without_record:?}"
+    );
     state.offer(at_revision(5, false)).unwrap();
     assert_eq!(state.withdrawn_without_record(), [KeyHash::of_key("newer")]);
 }
 
-/// Guards against peers that keep an old copy fresh without contact to the store.
+/// Guards against counting a copy as confirmed by the store although it is older than the
+/// revision that the store held.
 #[test]
-fn contact_counts_only_for_a_copy_that_is_new_enough() {
+fn only_a_copy_that_is_new_enough_is_confirmed() {
     let mut state = FeedState::new();
     state.confirm_current(0, 10);
     assert_eq!(state.confirmed_at_ms(), None);
@@ -250,7 +267,7 @@
     assert_eq!(state.confirmed_at_ms(), Some(30));
 }
 
-/// Guards against an age of contact that does not grow during an outage.
+/// Guards against a store contact age that does not grow while the store is not asked.
 #[test]
 fn contact_age_grows_with_the_clock() {
     let clock = Arc::new(ManualClock::default());
--- a/crates/store/tests/memory.rs
+++ b/crates/store/tests/memory.rs
@@ -1,4 +1,4 @@
-//! The in-process store: leases by the clock, watches and compaction.
+//! Tests of the in-process store: expiry of leases, watches and compaction.
 
 use std::sync::{Arc, mpsc};
 use std::thread;
@@ -8,7 +8,8 @@
     Change, LeaseId, ManualClock, MemoryStore, Store, StoreError, Transaction, Write,
 };
 
-const GENEROUS: Duration = Duration::from_secs(30);
+/// Far more than any step takes; reached only if the test fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn put(key: &str, lease: Option<LeaseId>) -> Transaction {
     Transaction {
@@ -21,10 +22,10 @@
     }
 }
 
-/// Guards against a waiting watch that sees the end of a lease only when its own wait
-/// is over.
+/// Guards against a waiting watch that reports the expiry of a lease only when its own
+/// timeout is over. No other call reaches the store during the wait.
 #[test]
-fn waiting_watch_sees_the_end_of_a_lease() {
+fn waiting_watch_reports_the_expiry_of_a_lease() {
     let clock = Arc::new(ManualClock::default());
     let store = MemoryStore::with_clock(clock.clone());
     let lease = store.grant_lease(10).unwrap();
@@ -33,20 +34,23 @@
     let (sender, results) = mpsc::channel();
     thread::spawn(move || {
         sender.send(Vec::new()).unwrap();
-        sender.send(watch.next(GENEROUS * 100).unwrap()).unwrap();
+        sender
+            .send(watch.next(TEST_TIMEOUT * 100).unwrap())
+            .unwrap();
     });
-    assert_eq!(results.recv_timeout(GENEROUS), Ok(Vec::new()));
+    assert_eq!(results.recv_timeout(TEST_TIMEOUT), Ok(Vec::new()));
+    // Gives the watch time to begin its wait.
     thread::sleep(Duration::from_millis(200));
     clock.advance(10_000);
     let changes = results
-        .recv_timeout(GENEROUS)
+        .recv_timeout(TEST_TIMEOUT)
         .expect("a change during the wait");
     assert!(matches!(&changes[..], [Change::Delete { key, .. }] if key == "i/a"));
 }
 
-/// Guards against a key that ends with the lease of an earlier value.
+/// Guards against a key that is deleted with a lease from which a later write detached it.
 #[test]
-fn key_moves_to_its_new_lease() {
+fn write_moves_a_key_to_its_new_lease() {
     let store = MemoryStore::new();
     let old = store.grant_lease(10).unwrap();
     let new = store.grant_lease(10).unwrap();
@@ -58,9 +62,10 @@
     assert_eq!(store.get("i/a"), Ok(None));
 }
 
-/// Guards against a watch that skips changes which were compacted before it read them.
+/// Guards against a watch that silently skips changes that were compacted before it read
+/// them.
 #[test]
-fn compaction_ends_a_watch_that_is_behind() {
+fn watch_fails_if_unread_changes_are_compacted() {
     let store = MemoryStore::new();
     let mut watch = store.watch("a", 2).unwrap();
     let revision = store.commit(put("a", None)).unwrap().revision;
--- a/crates/store/tests/registration.rs
+++ b/crates/store/tests/registration.rs
@@ -1,4 +1,4 @@
-//! Registration under a lease: renewal, loss and return.
+//! Tests of the registration of an instance: renewal, lost leases and lost responses.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,21 +11,23 @@
     RegistrationSettings, Store, SystemClock, registrations, remove_registration,
 };
 
-const GENEROUS: Duration = Duration::from_secs(30);
+/// Far more than any step takes; reached only if the test fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 const TTL_MS: u64 = 10_000;
 
-/// The record is never read back, so that this does not heal what a test looks for.
+/// Value of `check_every` with which the record is never read back. A read would repair
+/// the faults that a test looks for.
 const NEVER: u64 = u64::MAX;
 
 fn wait_until(what: &str, condition: impl Fn() -> bool) {
-    let deadline = Instant::now() + GENEROUS;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !condition() {
         assert!(Instant::now() < deadline, "{what} did not happen");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A store whose leases end by a clock of the test, and its gateway.
+/// A gateway to a store whose leases expire by the returned clock.
 fn gateway() -> (StoreGateway, Arc<ManualClock>) {
     let clock = Arc::new(ManualClock::default());
     let address: SocketAddr = "127.0.0.1:0".parse().unwrap();
@@ -45,6 +47,7 @@
     Registration::start(store, clock, "i1", &"here", settings).unwrap()
 }
 
+/// Name and value of each registered instance.
 fn listed(gateway: &StoreGateway) -> Vec<(String, String)> {
     let list = registrations::<String>(gateway.store()).unwrap();
     list.into_iter()
@@ -56,6 +59,7 @@
     listed(gateway) == [("i1".to_string(), "here".to_string())]
 }
 
+/// Number of lease renewals that the gateway has received.
 fn renewals(gateway: &StoreGateway) -> u64 {
     gateway
         .runs()
@@ -65,7 +69,8 @@
         .unwrap_or(0)
 }
 
-/// Guards against registrations that are not written, not updated or left behind.
+/// Guards against a registration that is not written, not updated by `set_value`, or still
+/// listed after the instance has closed it.
 #[test]
 fn registration_is_listed_until_closed() {
     let (gateway, _) = gateway();
@@ -79,19 +84,21 @@
     gateway.close();
 }
 
-/// Guards against a live instance that stays unregistered after its lease was lost.
+/// Guards against a running instance that stays unregistered after its lease has expired.
+/// The clock of the store jumps past the time to live between two renewals.
 #[test]
-fn lost_lease_leads_to_a_new_registration() {
+fn expired_lease_leads_to_a_new_registration() {
     let (gateway, clock) = gateway();
     let registration = register(&gateway, NEVER);
     wait_until("registration", || is_listed(&gateway));
     clock.advance(TTL_MS + 1);
-    wait_until("the return", || is_listed(&gateway));
+    wait_until("the new registration", || is_listed(&gateway));
     registration.close();
     gateway.close();
 }
 
-/// Guards against a record deleted by mistake while the lease is still renewed.
+/// Guards against an instance that stays unregistered after its record was deleted by
+/// mistake. The lease is still renewed, so only reading the record back finds the loss.
 #[test]
 fn deleted_record_is_written_again() {
     let (gateway, _) = gateway();
@@ -101,14 +108,16 @@
         .record
         .version;
     remove_registration(gateway.store(), "i1", version).unwrap();
-    wait_until("the return", || is_listed(&gateway));
+    wait_until("the new registration", || is_listed(&gateway));
     registration.close();
     gateway.close();
 }
 
-/// Guards against a late first write that binds the record to a lease nobody renews.
+/// Guards against a record attached to a lease that is not renewed. The first write is
+/// delayed by 400 ms and reported as lost. If the write were repeated with a new lease, the
+/// delayed one would replace it and attach the record to the first lease.
 #[test]
-fn record_hangs_on_the_renewed_lease_after_a_lost_answer() {
+fn record_keeps_the_renewed_lease_after_a_lost_response() {
     let (gateway, clock) = gateway();
     gateway.faults().set(Faults {
         lose_requests: 1,
@@ -118,22 +127,26 @@
     });
     let registration = register(&gateway, NEVER);
     wait_until("registration", || is_listed(&gateway));
-    let txns = || gateway.runs().paths["POST /v3/kv/txn"];
-    let before = txns();
-    wait_until("the late write", || txns() > before);
+    let transactions = || gateway.runs().paths["POST /v3/kv/txn"];
+    let before = transactions();
+    wait_until("the delayed write", || transactions() > before);
     for _ in 0..4 {
-        let seen = renewals(&gateway);
-        wait_until("renewals", || renewals(&gateway) > seen + 2);
+        let before = renewals(&gateway);
+        wait_until("renewals", || renewals(&gateway) > before + 2);
         clock.advance(TTL_MS * 6 / 10);
-        assert!(is_listed(&gateway), "the record ended with another lease");
+        assert!(
+            is_listed(&gateway),
+            "the record was deleted with another lease"
+        );
     }
     registration.close();
     gateway.close();
 }
 
-/// Guards against a registration of a dead process that never ends.
+/// Guards against a lease that outlives its time to live without renewal, with which the
+/// registration of a dead process would never be deleted.
 #[test]
-fn registration_without_renewal_ends() {
+fn lease_without_renewal_expires() {
     let clock = Arc::new(ManualClock::default());
     let store = MemoryStore::with_clock(clock.clone());
     let lease = store.grant_lease(10).unwrap();
--- a/crates/store/tests/typed.rs
+++ b/crates/store/tests/typed.rs
@@ -1,4 +1,4 @@
-//! Typed records: races and lost answers.
+//! Tests of typed records: concurrent writers and lost responses.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
     }
 }
 
-/// Guards against a write over a version that the writer has not seen.
+/// Guards against overwriting a version that the writer has not read.
 #[test]
 fn write_with_old_version_is_a_conflict() {
     let record: Record<Weights> = home_weights_record(&memory());
@@ -38,9 +38,10 @@
     assert_eq!(record.delete(version + 1), Err(RecordError::Conflict));
 }
 
-/// Guards against updates that overwrite each other.
+/// Guards against concurrent updates that overwrite each other. Four threads make five
+/// updates each.
 #[test]
-fn racing_updates_are_all_kept() {
+fn concurrent_updates_are_all_kept() {
     let store = memory();
     thread::scope(|scope| {
         for writer in 0..4 {
@@ -61,11 +62,11 @@
     assert_eq!(weights.read().unwrap().unwrap().value.len(), 20);
 }
 
-/// Guards against two successors of one incarnation, and against a claimant that does
-/// not know its own claim after a lost answer or request.
-#[test_case(Faults { lose_answers: 1, ..Faults::default() }; "lost answer")]
+/// Guards against two successors of one incarnation, and against a claimant that takes its
+/// own claim for that of another after a lost request or response.
+#[test_case(Faults { lose_answers: 1, ..Faults::default() }; "lost response")]
 #[test_case(Faults { lose_requests: 1, ..Faults::default() }; "lost request")]
-fn claim_has_one_winner(faults: Faults) {
+fn claim_is_acquired_once(faults: Faults) {
     let address: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let gateway = StoreGateway::start(address, MemoryStore::new()).unwrap();
     let settings = EtcdSettings::new(vec![gateway.address().to_string()]);
@@ -78,11 +79,11 @@
     let first = record.claim("i1.1".into()).unwrap();
     let second = record.claim("i2.1".into()).unwrap();
     assert!(
-        matches!(&first, Claim::Acquired(won) if won.value == "i1.1"),
+        matches!(&first, Claim::Acquired(record) if record.value == "i1.1"),
         "{first:?}"
     );
     assert!(
-        matches!(&second, Claim::AlreadyHeld(won) if won.value == "i1.1"),
+        matches!(&second, Claim::AlreadyHeld(record) if record.value == "i1.1"),
         "{second:?}"
     );
     gateway.close();
