--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,21 +1,24 @@
-//! Faults in a settings file.
+//! Problems in a settings file, in the form in which they are printed for the operator.
 
 use std::fmt;
 
-/// One fault of a settings file.
+/// One problem in a settings file, such as a missing key or a value out of range.
+///
+/// Its `Display` form is one line: `FILE: [SECTION] KEY: MESSAGE`.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Fault {
-    /// The file as given by the user.
+pub struct Problem {
+    /// The path of the file as the user gave it.
     pub file: String,
-    /// The section, empty for faults of the whole file.
+    /// The section. Empty for a problem of the whole file.
     pub section: String,
-    /// The key, empty for faults of the whole section.
+    /// The key. Empty for a problem of the whole section or file.
     pub key: String,
-    /// What is wrong and what is expected.
+    /// What is wrong or what is expected, as the rest of a sentence that begins with the
+    /// key or the file.
     pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: ", self.file)?;
         if !self.section.is_empty() {
@@ -28,18 +31,18 @@
     }
 }
 
-/// All faults of a settings file, one on each line.
+/// All problems of a settings file. The `Display` form has one line for each.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SettingsError {
-    /// The faults. Never empty.
-    pub faults: Vec<Fault>,
+    /// Never empty, in the order in which the checks found them.
+    pub problems: Vec<Problem>,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (index, fault) in self.faults.iter().enumerate() {
+        for (index, problem) in self.problems.iter().enumerate() {
             let separator = if index == 0 { "" } else { "\n" };
-            write!(f, "{separator}{fault}")?;
+            write!(f, "{separator}{problem}")?;
         }
         Ok(())
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,19 +1,19 @@
-//! Settings of an instance, from an INI file.
+//! Settings of an instance, read from an INI file at its start.
 //!
-//! Reading happens in two levels. [`RawSettings`] holds the raw text of each key.
-//! [`Settings`] holds values that are checked and ready to use; nothing reads a raw key
-//! after it is built. All faults of a file are reported together, each with file, section
-//! and key.
+//! Reading has two steps. [`RawSettings`] holds the text of each key as the file has it.
+//! [`Settings`] holds checked values with defaults filled in; after it is built, nothing
+//! reads a raw key. All problems of a file are reported together, each with file, section
+//! and key, so that an operator can fix them in one pass.
 
 mod error;
-mod high;
-mod low;
+mod raw;
 mod reader;
 mod sections;
+mod settings;
 
-pub use crate::error::{Fault, SettingsError};
-pub use crate::high::{
+pub use crate::error::{Problem, SettingsError};
+pub use crate::raw::RawSettings;
+pub use crate::settings::{
     AdminSettings, CallerSettings, EndpointSettings, InstanceSettings, LogSettings,
     PeerSettings, PlatformSettings, PolicySettings, QuotaSettings, Settings,
 };
-pub use crate::low::RawSettings;
--- a/crates/settings/src/low.rs
+++ b/crates/settings/src/raw.rs
@@ -1,50 +1,52 @@
-//! The raw keys of a settings file.
+//! The text of each key of a settings file, before any check of its value.
 
 use std::collections::BTreeMap;
 use std::path::Path;
 
 use ini::Ini;
 
-use crate::error::{Fault, SettingsError};
+use crate::error::{Problem, SettingsError};
 
-/// The text of each key, by section. Nothing is checked beyond the INI syntax.
+/// The text of each key, by section. Only the INI syntax and the uniqueness of keys are
+/// checked.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct RawSettings {
-    /// The file as given by the user, for messages.
+    /// The path of the file as the user gave it, for messages.
     pub file: String,
-    /// Section name to key to text. Keys before the first section have an empty section.
+    /// Maps section name and key to the text of the value. Keys before the first section
+    /// are in a section with an empty name.
     pub sections: BTreeMap<String, BTreeMap<String, String>>,
 }
 
 impl RawSettings {
-    /// Reads a file.
+    /// Reads and parses the file at `path`.
     ///
     /// # Errors
     ///
-    /// One fault if the file cannot be read or is not an INI file.
+    /// One problem if the file cannot be read, is not in INI form or sets a key twice.
     pub fn read(path: &Path) -> Result<RawSettings, SettingsError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
-            .map_err(|error| whole_file(&file, format!("cannot be read: {error}")))?;
+            .map_err(|error| file_error(&file, format!("cannot be read: {error}")))?;
         RawSettings::parse(&file, &text)
     }
 
-    /// Parses text. `file` names its source in messages.
+    /// Parses the text of a settings file. `file` names its source in messages.
     ///
     /// # Errors
     ///
-    /// One fault if the text is not in INI form or names a key twice.
+    /// One problem if the text is not in INI form or sets a key twice.
     pub fn parse(file: &str, text: &str) -> Result<RawSettings, SettingsError> {
         let ini = Ini::load_from_str_noescape(text)
-            .map_err(|error| whole_file(file, format!("is not in INI form: {error}")))?;
-        let mut low = RawSettings {
+            .map_err(|error| file_error(file, format!("is not in INI form: {error}")))?;
+        let mut raw = RawSettings {
             file: file.to_string(),
             sections: BTreeMap::new(),
         };
         for (section, properties) in ini.iter() {
-            low.add_section(section.unwrap_or_default(), properties.iter())?;
+            raw.add_section(section.unwrap_or_default(), properties.iter())?;
         }
-        Ok(low)
+        Ok(raw)
     }
 
     fn add_section<'a>(
@@ -56,14 +58,14 @@
         for (key, value) in properties {
             let previous = keys.insert(key.to_string(), value.to_string());
             if previous.is_some() {
-                let fault = Fault {
+                let problem = Problem {
                     file: self.file.clone(),
                     section: section.to_string(),
                     key: key.to_string(),
                     message: "is set twice".to_string(),
                 };
                 return Err(SettingsError {
-                    faults: vec![fault],
+                    problems: vec![problem],
                 });
             }
         }
@@ -71,14 +73,15 @@
     }
 }
 
-fn whole_file(file: &str, message: String) -> SettingsError {
-    let fault = Fault {
+/// An error with one problem that concerns the whole file.
+fn file_error(file: &str, message: String) -> SettingsError {
+    let problem = Problem {
         file: file.to_string(),
         section: String::new(),
         key: String::new(),
         message,
     };
     SettingsError {
-        faults: vec![fault],
+        problems: vec![problem],
     }
 }
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,75 +1,88 @@
-//! Takes checked values out of [`RawSettings`] and collects faults.
+//! Converts the texts of [`RawSettings`] to checked values and collects the problems.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::str::FromStr;
 
-use crate::error::{Fault, SettingsError};
-use crate::low::RawSettings;
+use crate::error::{Problem, SettingsError};
+use crate::raw::RawSettings;
 
-/// Reads each known key once. What is left at the end is unknown.
-pub(crate) struct Reader {
-    low: RawSettings,
-    faults: Vec<Fault>,
+/// Reads and removes each known key. Keys that remain at the end are unknown.
+///
+/// A method that finds a problem records it and returns a substitute value, so that the
+/// remaining settings are checked too. [`SettingsReader::finish`] discards the values in
+/// that case.
+pub(crate) struct SettingsReader {
+    raw: RawSettings,
+    problems: Vec<Problem>,
 }
 
-impl Reader {
-    pub(crate) fn new(low: RawSettings) -> Reader {
-        Reader {
-            low,
-            faults: Vec::new(),
+impl SettingsReader {
+    pub(crate) fn new(raw: RawSettings) -> SettingsReader {
+        SettingsReader {
+            raw,
+            problems: Vec::new(),
         }
     }
 
-    /// Reports the keys that nobody read, and returns `value` if there was no fault.
+    /// Reports the keys that were not read as unknown. Returns `value` if there was no
+    /// problem, and all problems otherwise.
     pub(crate) fn finish<T>(mut self, value: T) -> Result<T, SettingsError> {
-        let left: BTreeMap<_, _> = std::mem::take(&mut self.low.sections);
-        for (section, keys) in left {
+        let unread: BTreeMap<_, _> = std::mem::take(&mut self.raw.sections);
+        for (section, keys) in unread {
             for key in keys.into_keys() {
-                self.fault(&section, &key, "is not a known key");
+                self.add_problem(&section, &key, "is not a known key");
             }
         }
-        match self.faults.is_empty() {
+        match self.problems.is_empty() {
             true => Ok(value),
             false => Err(SettingsError {
-                faults: self.faults,
+                problems: self.problems,
             }),
         }
     }
 
-    pub(crate) fn fault(&mut self, section: &str, key: &str, message: impl Into<String>) {
-        self.faults.push(Fault {
-            file: self.low.file.clone(),
+    /// Records a problem with `key` of `section`.
+    pub(crate) fn add_problem(
+        &mut self,
+        section: &str,
+        key: &str,
+        message: impl Into<String>,
+    ) {
+        self.problems.push(Problem {
+            file: self.raw.file.clone(),
             section: section.to_string(),
             key: key.to_string(),
             message: message.into(),
         });
     }
 
-    fn raw(&mut self, section: &str, key: &str) -> Option<String> {
-        let keys = self.low.sections.get_mut(section)?;
+    /// Removes the text of a key, and its section once that is empty. `None` if the key is
+    /// not set.
+    fn take(&mut self, section: &str, key: &str) -> Option<String> {
+        let keys = self.raw.sections.get_mut(section)?;
         let value = keys.remove(key);
         if keys.is_empty() {
-            self.low.sections.remove(section);
+            self.raw.sections.remove(section);
         }
         value
     }
 
-    /// Text with a default.
+    /// Reads any text, or `default` if the key is not set.
     pub(crate) fn text(&mut self, section: &str, key: &str, default: &str) -> String {
-        self.raw(section, key)
+        self.take(section, key)
             .unwrap_or_else(|| default.to_string())
     }
 
-    /// A name: letters, digits, `-` and `_`, at most 64 of them.
+    /// Reads a required name of 1 to 64 ASCII letters, digits, hyphens and underscores.
     pub(crate) fn name(&mut self, section: &str, key: &str) -> String {
-        let Some(text) = self.raw(section, key) else {
-            self.fault(section, key, "is required");
+        let Some(text) = self.take(section, key) else {
+            self.add_problem(section, key, "is required");
             return String::new();
         };
         let allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
         if text.is_empty() || text.len() > 64 || !text.chars().all(allowed) {
-            self.fault(
+            self.add_problem(
                 section,
                 key,
                 "must be 1 to 64 letters, digits, hyphens or underscores",
@@ -78,7 +91,7 @@
         text
     }
 
-    /// A whole number within bounds.
+    /// Reads an integer from `min` to `max`, inclusive, or `default` if the key is not set.
     pub(crate) fn number(
         &mut self,
         section: &str,
@@ -87,20 +100,20 @@
         min: u64,
         max: u64,
     ) -> u64 {
-        let Some(text) = self.raw(section, key) else {
+        let Some(text) = self.take(section, key) else {
             return default;
         };
         match text.parse::<u64>() {
             Ok(number) if (min..=max).contains(&number) => number,
             _ => {
                 let message = format!("must be a whole number from {min} to {max}");
-                self.fault(section, key, message);
+                self.add_problem(section, key, message);
                 default
             }
         }
     }
 
-    /// An IP address with a port.
+    /// Reads an `IP:PORT`, or parses `default` if the key is not set.
     pub(crate) fn address(
         &mut self,
         section: &str,
@@ -108,11 +121,12 @@
         default: &str,
     ) -> SocketAddr {
         let text = self.text(section, key, default);
-        self.parsed(section, key, &text, "must be an IP address with a port")
+        self.parse(section, key, &text, "must be an IP address with a port")
             .unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
-    /// A comma-separated list of IP addresses with ports. May be empty.
+    /// Reads a comma-separated list of `IP:PORT`, empty if the key is not set. Empty items
+    /// are skipped.
     pub(crate) fn addresses(&mut self, section: &str, key: &str) -> Vec<SocketAddr> {
         let text = self.text(section, key, "");
         let items: Vec<&str> = text
@@ -123,12 +137,13 @@
         items
             .into_iter()
             .filter_map(|item| {
-                self.parsed(section, key, item, "must be IP addresses with ports")
+                self.parse(section, key, item, "must be IP addresses with ports")
             })
             .collect()
     }
 
-    /// A comma-separated list. May be empty.
+    /// Reads a comma-separated list of texts, empty if the key is not set. Empty items are
+    /// skipped.
     pub(crate) fn list(&mut self, section: &str, key: &str) -> Vec<String> {
         let text = self.text(section, key, "");
         let items = text
@@ -138,7 +153,7 @@
         items.map(str::to_string).collect()
     }
 
-    /// One of several words.
+    /// Reads one of the words in `choices`, or `default` if the key is not set.
     pub(crate) fn choice(
         &mut self,
         section: &str,
@@ -149,12 +164,13 @@
         let text = self.text(section, key, default);
         if !choices.contains(&text.as_str()) {
             let message = format!("must be one of {}", choices.join(", "));
-            self.fault(section, key, message);
+            self.add_problem(section, key, message);
         }
         text
     }
 
-    fn parsed<T: FromStr>(
+    /// Parses `text`, or records a problem with `message`.
+    fn parse<T: FromStr>(
         &mut self,
         section: &str,
         key: &str,
@@ -163,7 +179,7 @@
     ) -> Option<T> {
         let value = text.parse().ok();
         if value.is_none() {
-            self.fault(section, key, message);
+            self.add_problem(section, key, message);
         }
         value
     }
--- a/crates/settings/src/sections.rs
+++ b/crates/settings/src/sections.rs
@@ -1,22 +1,24 @@
-//! Reads and checks each section of the settings.
+//! Reads and checks each section of the settings: the defaults and bounds of all keys, and
+//! the rules between keys.
 
 use std::net::SocketAddr;
 
 use jayreel_model::KeyHash;
 
-use crate::high::{
+use crate::reader::SettingsReader;
+use crate::settings::{
     AdminSettings, CallerSettings, EndpointSettings, InstanceSettings, LogSettings,
     PeerSettings, PlatformSettings, PolicySettings, QuotaSettings, Settings,
 };
-use crate::reader::Reader;
 
 const HOUR_MS: u64 = 3_600_000;
 const DAY_S: u64 = 86_400;
 
-/// Most seeds. Each is asked once a second while no configuration is known.
+/// Most addresses in `seeds`. An instance that has no configuration yet contacts each of them
+/// once a second.
 const MAX_SEEDS: usize = 48;
 
-pub(crate) fn instance(reader: &mut Reader) -> InstanceSettings {
+pub(crate) fn instance(reader: &mut SettingsReader) -> InstanceSettings {
     let section = "instance";
     InstanceSettings {
         name: reader.name(section, "name"),
@@ -26,7 +28,7 @@
     }
 }
 
-pub(crate) fn callers(reader: &mut Reader) -> CallerSettings {
+pub(crate) fn callers(reader: &mut SettingsReader) -> CallerSettings {
     let section = "callers";
     CallerSettings {
         listen: reader.address(section, "listen", "127.0.0.1:8080"),
@@ -45,12 +47,12 @@
     }
 }
 
-pub(crate) fn admin(reader: &mut Reader) -> AdminSettings {
+pub(crate) fn admin(reader: &mut SettingsReader) -> AdminSettings {
     let section = "admin";
     let listen = reader.address(section, "listen", "127.0.0.1:8081");
     let texts = reader.list(section, "key_hashes");
     if texts.is_empty() {
-        reader.fault(
+        reader.add_problem(
             section,
             "key_hashes",
             "needs at least one blake3 hash of a key",
@@ -60,7 +62,7 @@
     for text in texts {
         match KeyHash::try_from(text) {
             Ok(hash) => key_hashes.push(hash),
-            Err(_) => reader.fault(
+            Err(_) => reader.add_problem(
                 section,
                 "key_hashes",
                 "must be blake3 hashes of 64 hexadecimal digits",
@@ -70,14 +72,14 @@
     AdminSettings { listen, key_hashes }
 }
 
-pub(crate) fn peers(reader: &mut Reader) -> PeerSettings {
+pub(crate) fn peers(reader: &mut SettingsReader) -> PeerSettings {
     let section = "peers";
     let listen = reader.address(section, "listen", "127.0.0.1:8082");
     let text = reader.text(section, "fleet_secret", "");
     let fleet_secret = match KeyHash::try_from(text) {
         Ok(hash) => hash.0,
         Err(_) => {
-            reader.fault(section, "fleet_secret", "must be 64 hexadecimal digits");
+            reader.add_problem(section, "fleet_secret", "must be 64 hexadecimal digits");
             [0; 32]
         }
     };
@@ -90,29 +92,34 @@
     }
 }
 
-fn seeds(reader: &mut Reader, section: &str) -> Vec<SocketAddr> {
+/// Checks that the seeds are few, distinct and addresses that can be connected to.
+fn seeds(reader: &mut SettingsReader, section: &str) -> Vec<SocketAddr> {
     let key = "seeds";
     let seeds = reader.addresses(section, key);
     if seeds.len() > MAX_SEEDS {
         let message = format!("must be at most {MAX_SEEDS} addresses");
-        reader.fault(section, key, message);
+        reader.add_problem(section, key, message);
     }
     for (index, seed) in seeds.iter().enumerate() {
         if seed.ip().is_unspecified() || seed.port() == 0 {
-            reader.fault(section, key, format!("{seed} is not an address of a peer"));
+            reader.add_problem(
+                section,
+                key,
+                format!("{seed} is not an address of a peer"),
+            );
         }
         if seeds[..index].contains(seed) {
-            reader.fault(section, key, format!("{seed} is listed twice"));
+            reader.add_problem(section, key, format!("{seed} is listed twice"));
         }
     }
     seeds
 }
 
-pub(crate) fn platform(reader: &mut Reader) -> PlatformSettings {
+pub(crate) fn platform(reader: &mut SettingsReader) -> PlatformSettings {
     let section = "platform";
     let store = reader.addresses(section, "store");
     if store.is_empty() {
-        reader.fault(
+        reader.add_problem(
             section,
             "store",
             "needs at least one IP address with a port",
@@ -133,7 +140,7 @@
     }
 }
 
-pub(crate) fn endpoints(reader: &mut Reader) -> EndpointSettings {
+pub(crate) fn endpoints(reader: &mut SettingsReader) -> EndpointSettings {
     let section = "endpoints";
     EndpointSettings {
         connect_timeout_ms: reader.number(
@@ -176,7 +183,7 @@
     }
 }
 
-pub(crate) fn quota(reader: &mut Reader) -> QuotaSettings {
+pub(crate) fn quota(reader: &mut SettingsReader) -> QuotaSettings {
     let section = "quota";
     QuotaSettings {
         wait_ms: reader.number(section, "wait_ms", 2_000, 0, HOUR_MS),
@@ -185,7 +192,7 @@
     }
 }
 
-pub(crate) fn policy(reader: &mut Reader) -> PolicySettings {
+pub(crate) fn policy(reader: &mut SettingsReader) -> PolicySettings {
     let section = "policy";
     PolicySettings {
         order: reader.choice(
@@ -209,7 +216,7 @@
     }
 }
 
-pub(crate) fn log(reader: &mut Reader) -> LogSettings {
+pub(crate) fn log(reader: &mut SettingsReader) -> LogSettings {
     let section = "log";
     LogSettings {
         level: reader.choice(
@@ -222,23 +229,25 @@
     }
 }
 
-pub(crate) fn check_addresses(reader: &mut Reader, settings: &Settings) {
+/// Checks that the listeners have different addresses, unless the port is 0, and that peers
+/// are told an address that they can connect to.
+pub(crate) fn check_addresses(reader: &mut SettingsReader, settings: &Settings) {
     let listeners = [
         ("callers", settings.callers.listen),
         ("admin", settings.admin.listen),
         ("peers", settings.peers.listen),
     ];
     for (index, (section, address)) in listeners.iter().enumerate() {
-        let taken = listeners[..index]
+        let is_duplicate = listeners[..index]
             .iter()
             .any(|(_, other)| other == address && address.port() != 0);
-        if taken {
-            reader.fault(section, "listen", "is the address of another listener");
+        if is_duplicate {
+            reader.add_problem(section, "listen", "is the address of another listener");
         }
     }
     let peer_address = settings.peers.advertise.unwrap_or(settings.peers.listen);
     if peer_address.ip().is_unspecified() {
         let message = "must be an address that peers can reach, or set advertise";
-        reader.fault("peers", "listen", message);
+        reader.add_problem("peers", "listen", message);
     }
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,8 +1,9 @@
-//! Tests of the settings file.
+//! Tests of reading a settings file: defaults, problems and their messages.
 
 use jayreel_settings::{RawSettings, Settings};
 use test_case::test_case;
 
+/// All required keys and the listeners.
 const COMPLETE: &str = "
 [instance]
 name = entry-1
@@ -19,21 +20,22 @@
 store = 127.0.0.1:2379
 ";
 
-fn check(text: &str) -> Result<Settings, String> {
-    let low = RawSettings::parse("test.ini", text).map_err(|e| e.to_string())?;
-    Settings::from_raw(low).map_err(|e| e.to_string())
+/// The settings, or all problems as printed.
+fn read(text: &str) -> Result<Settings, String> {
+    let raw = RawSettings::parse("test.ini", text).map_err(|e| e.to_string())?;
+    Settings::from_raw(raw).map_err(|e| e.to_string())
 }
 
 #[test]
 fn complete_file_is_accepted_with_defaults() {
-    let settings = check(COMPLETE).unwrap();
+    let settings = read(COMPLETE).unwrap();
     assert_eq!(settings.instance.name, "entry-1");
     assert_eq!(settings.quota.loan_term_ms, 5_000);
     assert_eq!(settings.platform.store.len(), 1);
 }
 
-// Guards against a typing error in a key being ignored, and against messages that do not
-// say where the fault is.
+// Guards against ignoring a misspelled key, and against messages that do not say where the
+// problem is.
 #[test_case(
     "[callers]\nlissten = 1",
     "test.ini: [callers] lissten: is not a known key"
@@ -71,7 +73,7 @@
     "[callers]\nlisten = somewhere",
     "test.ini: [callers] listen: must be an IP address with a port"
 )]
-fn fault_names_file_section_and_key(addition: &str, expected: &str) {
+fn problem_names_file_section_and_key(addition: &str, expected: &str) {
     let mut text = COMPLETE.to_string();
     let (header, key) = addition.split_once('\n').unwrap();
     match text.contains(header) {
@@ -81,29 +83,29 @@
         true => text = text.replace(header, addition),
         false => text.push_str(addition),
     }
-    assert_eq!(check(&text).unwrap_err(), expected);
+    assert_eq!(read(&text).unwrap_err(), expected);
 }
 
-// Guards against a list that costs the peers a connection a second from each newcomer for
-// hundreds of addresses.
+// Guards against a list of hundreds of seeds: a starting instance connects to each of them
+// once a second.
 #[test]
-fn seeds_are_a_few_dozen_at_most() {
-    let with = |count: u32| {
+fn number_of_seeds_is_limited() {
+    let read_with_seeds = |count: u32| {
         let seeds: Vec<String> = (0..count).map(|i| format!("10.0.0.{i}:7002")).collect();
         let line = format!("[peers]\nseeds = {}", seeds.join(","));
-        check(&COMPLETE.replace("[peers]", &line))
+        read(&COMPLETE.replace("[peers]", &line))
     };
-    assert_eq!(with(48).unwrap().peers.seeds.len(), 48);
+    assert_eq!(read_with_seeds(48).unwrap().peers.seeds.len(), 48);
     assert_eq!(
-        with(49).unwrap_err(),
+        read_with_seeds(49).unwrap_err(),
         "test.ini: [peers] seeds: must be at most 48 addresses"
     );
 }
 
-// Guards against reporting only the first of several faults.
+// Guards against reporting only the first of several problems.
 #[test]
-fn all_faults_are_reported_together() {
-    let error = check("[instance]\nname = a b\n").unwrap_err();
+fn all_problems_are_reported_together() {
+    let error = read("[instance]\nname = a b\n").unwrap_err();
     assert!(
         error.contains("[instance] name: must be 1 to 64"),
         "{error}"
@@ -116,22 +118,23 @@
     assert!(error.contains("[platform] store"), "{error}");
 }
 
-// Guards against two listeners on one address, of which the second would fail at start.
+// Guards against two listeners with the same address, the second of which would fail at the
+// start of the instance.
 #[test]
 fn listeners_need_different_addresses() {
     let text = COMPLETE.replace("127.0.0.1:7001", "127.0.0.1:7000");
-    let error = check(&text).unwrap_err();
+    let error = read(&text).unwrap_err();
     assert_eq!(
         error,
         "test.ini: [admin] listen: is the address of another listener"
     );
 }
 
-// Guards against a silent choice between two values of one key.
+// Guards against silently using one of two values that are set for the same key.
 #[test]
-fn key_set_twice_is_refused() {
+fn key_set_twice_is_rejected() {
     let text = COMPLETE.replace("name = entry-1", "name = entry-1\nname = entry-2");
-    let error = check(&text).unwrap_err();
+    let error = read(&text).unwrap_err();
     assert_eq!(error, "test.ini: [instance] name: is set twice");
 }
 
@@ -142,7 +145,7 @@
     })]
     // Guards against a panic on a damaged file.
     #[test]
-    fn any_text_gives_settings_or_faults(text in "(?s).{0,400}") {
-        let _ = check(&text);
+    fn any_text_gives_settings_or_problems(text in "(?s).{0,400}") {
+        let _ = read(&text);
     }
 }
