--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -57,8 +57,8 @@
         });
     }
 
-    /// Removes the text of a key, and its section once that is empty. `None` if the key is
-    /// not set.
+    /// Removes the text of a key, and its section once that is empty. `None` if the key
+    /// is not set.
     fn take(&mut self, section: &str, key: &str) -> Option<String> {
         let keys = self.raw.sections.get_mut(section)?;
         let value = keys.remove(key);
@@ -91,7 +91,8 @@
         text
     }
 
-    /// Reads an integer from `min` to `max`, inclusive, or `default` if the key is not set.
+    /// Reads an integer from `min` to `max`, inclusive, or `default` if the key is not
+    /// set.
     pub(crate) fn number(
         &mut self,
         section: &str,
@@ -125,8 +126,8 @@
             .unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
-    /// Reads a comma-separated list of `IP:PORT`, empty if the key is not set. Empty items
-    /// are skipped.
+    /// Reads a comma-separated list of `IP:PORT`, empty if the key is not set. Empty
+    /// items are skipped.
     pub(crate) fn addresses(&mut self, section: &str, key: &str) -> Vec<SocketAddr> {
         let text = self.text(section, key, "");
         let items: Vec<&str> = text
@@ -142,8 +143,8 @@
             .collect()
     }
 
-    /// Reads a comma-separated list of texts, empty if the key is not set. Empty items are
-    /// skipped.
+    /// Reads a comma-separated list of texts, empty if the key is not set. Empty items
+    /// are skipped.
     pub(crate) fn list(&mut self, section: &str, key: &str) -> Vec<String> {
         let text = self.text(section, key, "");
         let items = text
--- a/crates/settings/src/sections.rs
+++ b/crates/settings/src/sections.rs
@@ -1,5 +1,5 @@
-//! Reads and checks each section of the settings: the defaults and bounds of all keys, and
-//! the rules between keys.
+//! Reads and checks each section of the settings: the defaults and bounds of all keys,
+//! and the rules between keys.
 
 use std::net::SocketAddr;
 
@@ -11,11 +11,12 @@
     PeerSettings, PlatformSettings, PolicySettings, QuotaSettings, Settings,
 };
 
+/// Largest value of most settings in milliseconds.
 const HOUR_MS: u64 = 3_600_000;
 const DAY_S: u64 = 86_400;
 
-/// Most addresses in `seeds`. An instance that has no configuration yet contacts each of them
-/// once a second.
+/// Most addresses in `seeds`. An instance that has no configuration yet contacts each of
+/// them once a second.
 const MAX_SEEDS: usize = 48;
 
 pub(crate) fn instance(reader: &mut SettingsReader) -> InstanceSettings {
@@ -229,8 +230,8 @@
     }
 }
 
-/// Checks that the listeners have different addresses, unless the port is 0, and that peers
-/// are told an address that they can connect to.
+/// Checks that the listeners have different addresses, unless the port is 0, and that
+/// peers are told an address that they can connect to.
 pub(crate) fn check_addresses(reader: &mut SettingsReader, settings: &Settings) {
     let listeners = [
         ("callers", settings.callers.listen),
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -23,7 +23,7 @@
     pub admin: AdminSettings,
     /// Section `peers`: the connections to other instances.
     pub peers: PeerSettings,
-    /// Section `platform`: the store: the key-value service of the platform.
+    /// Section `platform`: the store, which is the platform's key-value service.
     pub platform: PlatformSettings,
     /// Section `endpoints`: calls to endpoints, and the care for their caches and models.
     pub endpoints: EndpointSettings,
@@ -42,8 +42,8 @@
     pub name: String,
     /// The availability zone in which the instance runs.
     pub availability_zone: String,
-    /// How long the listener for callers still accepts connections after a planned stop has
-    /// begun and the instance reports that it is not ready.
+    /// How long the listener for callers still accepts connections after a planned stop
+    /// has begun and the instance reports that it is not ready.
     pub drain_notice_ms: u64,
     /// How long a planned stop then waits for running calls to end. 0 means no limit.
     pub drain_limit_s: u64,
@@ -87,26 +87,26 @@
     /// Addresses of peers to contact at the start, in case the store is down. May contain
     /// the instance's own address.
     pub seeds: Vec<SocketAddr>,
-    /// Secret shared by all instances, 64 hexadecimal digits in the file. Keys derived from
-    /// it secure the connections between instances and sign program tokens.
+    /// Secret shared by all instances, 64 hexadecimal digits in the file. Keys derived
+    /// from it secure the connections between instances and sign program tokens.
     pub fleet_secret: [u8; 32],
     /// Time limit for each response of a peer.
     pub timeout_ms: u64,
 }
 
-/// The platform's key-value service.
+/// The platform's key-value service, which holds the configuration and the registrations.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PlatformSettings {
-    /// Addresses of the members of the store, at which they serve the HTTP/JSON gateway of
-    /// the etcd API. Never empty.
+    /// Addresses of the members of the store, at which they serve the HTTP/JSON gateway
+    /// of the etcd API. Never empty.
     pub store: Vec<SocketAddr>,
     /// Time limit for each of these steps of a call: connecting, sending the request, and
     /// receiving the head and the body of the response.
     pub timeout_ms: u64,
     /// How often the store is asked for the newest revision of the configuration.
     pub config_poll_interval_ms: u64,
-    /// How long customer keys are accepted after the store last confirmed the configuration,
-    /// directly or through peers.
+    /// How long customer keys are accepted after the store last confirmed the
+    /// configuration, directly or through peers.
     pub offline_grace_s: u64,
     /// How long the registration of an instance lasts without renewal.
     pub registration_ttl_s: u64,
@@ -124,12 +124,13 @@
     pub service_progress_timeout_ms: u64,
     /// How often the reports of load and of loaded models are fetched from endpoints.
     pub load_interval_ms: u64,
-    /// Number of models that the engines of one availability zone may load at the same time.
+    /// Number of models that the engines of one availability zone may load at the same
+    /// time.
     pub zone_loads_at_once: u64,
     /// How often the cache tags of an engine are listed to find those without an owner.
     pub cache_sweep_interval_ms: u64,
-    /// How long a process without a successor must be gone before the cache of its programs
-    /// is released.
+    /// How long a process without a successor must be gone before the cache of its
+    /// programs is released.
     pub cache_orphan_ms: u64,
 }
 
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -34,8 +34,8 @@
     assert_eq!(settings.platform.store.len(), 1);
 }
 
-// Guards against ignoring a misspelled key, and against messages that do not say where the
-// problem is.
+// Guards against ignoring a misspelled key, and against messages that do not say where
+// the problem is.
 #[test_case(
     "[callers]\nlissten = 1",
     "test.ini: [callers] lissten: is not a known key"
@@ -86,8 +86,8 @@
     assert_eq!(read(&text).unwrap_err(), expected);
 }
 
-// Guards against a list of hundreds of seeds: a starting instance connects to each of them
-// once a second.
+// Guards against a list of hundreds of seeds: a starting instance connects to each of
+// them once a second.
 #[test]
 fn number_of_seeds_is_limited() {
     let read_with_seeds = |count: u32| {
@@ -118,8 +118,8 @@
     assert!(error.contains("[platform] store"), "{error}");
 }
 
-// Guards against two listeners with the same address, the second of which would fail at the
-// start of the instance.
+// Guards against two listeners with the same address, the second of which would fail at
+// the start of the instance.
 #[test]
 fn listeners_need_different_addresses() {
     let text = COMPLETE.replace("127.0.0.1:7001", "127.0.0.1:7000");
--- a/crates/store/src/configuration/change.rs
+++ b/crates/store/src/configuration/change.rs
@@ -1,12 +1,13 @@
 //! The transactions of one configuration change by an operator, without I/O.
 //!
 //! If the response to a change is lost, the operator must still learn whether the change
-//! was made. Therefore a change writes its record together with a marker `edits/ID`, on the
-//! condition that the marker does not exist. After a lost response, a second transaction
-//! tries to create the same marker with the value "cancelled". Exactly one of the two can
-//! succeed, even if the first is still on its way to the store, so the value of the marker
-//! tells whether the change was made. The marker is attached to a lease. The store rejects
-//! a change that arrives after the lease has ended, when the marker is gone.
+//! was made. Therefore a change writes its record together with a marker `edits/ID`, on
+//! the condition that the marker does not exist. After a lost response, a second
+//! transaction tries to create the same marker with the value "cancelled". Exactly one of
+//! the two can succeed, even if the first is still on its way to the store, so the value
+//! of the marker tells whether the change was made. The marker is attached to a lease.
+//! The store rejects a change that arrives after the lease has ended, when the marker is
+//! gone.
 //!
 //! Comparing the value of the record instead does not work: it cannot distinguish two
 //! operators that write the same value, and it misses a change that arrives after the
--- a/crates/store/src/configuration/editor.rs
+++ b/crates/store/src/configuration/editor.rs
@@ -1,5 +1,5 @@
-//! Changes of configuration records by operators, with a definite outcome wherever the store
-//! allows one. See [`change`] for the protocol.
+//! Changes of configuration records by operators, with a definite outcome wherever the
+//! store allows one. See [`change`] for the protocol.
 
 use std::fmt;
 use std::sync::Arc;
@@ -59,8 +59,8 @@
     NotFound(String),
     /// Not accepted: the store failed or rejected the change, and will not make it later.
     Store(String),
-    /// The response was lost and the outcome could not be learned afterwards, so the change
-    /// may or may not have been accepted.
+    /// The response was lost and the outcome could not be learned afterwards, so the
+    /// change may or may not have been accepted.
     Unknown(String),
 }
 
@@ -199,8 +199,8 @@
         self.put(name, record, version, Vec::new())
     }
 
-    /// Writes a record if it still has `version`, where 0 means that it does not exist, and
-    /// if the other `conditions` hold.
+    /// Writes a record if it still has `version`, where 0 means that it does not exist,
+    /// and if the other `conditions` hold.
     pub(super) fn put<T: ConfigRecord>(
         &self,
         name: &str,
--- a/crates/store/src/configuration/entities.rs
+++ b/crates/store/src/configuration/entities.rs
@@ -66,8 +66,8 @@
     ///
     /// # Errors
     ///
-    /// See [`EditError`]. After [`EditError::Unknown`], the store may hold the hash of a key
-    /// that was never returned to anybody.
+    /// See [`EditError`]. After [`EditError::Unknown`], the store may hold the hash of a
+    /// key that was never returned to anybody.
     pub fn create_key(&self, customer: &str) -> Result<GivenKey, EditError> {
         let owner: Versioned<Customer> = self.read(customer)?;
         let secret: [u8; SECRET_BYTES] = rand::random();
@@ -135,8 +135,8 @@
         })
     }
 
-    /// Deletes a route if it still has `version`. Also writes [`DELETED_KEY`], so that polls
-    /// notice the deletion.
+    /// Deletes a route if it still has `version`. Also writes [`DELETED_KEY`], so that
+    /// polls notice the deletion.
     ///
     /// # Errors
     ///
--- a/crates/store/src/configuration/feed.rs
+++ b/crates/store/src/configuration/feed.rs
@@ -48,9 +48,9 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Runs `action` and sends the new copy, if it returns one. The copy is sent under the
-    /// lock, so that the channel delivers copies in the order in which they were made.
-    /// Returns whether a copy was sent.
+    /// Runs `action` and sends the new copy, if it returns one. The copy is sent under
+    /// the lock, so that the channel delivers copies in the order in which they were
+    /// made. Returns whether a copy was sent.
     fn update(
         &self,
         action: impl FnOnce(&mut FeedState) -> Option<Arc<Configuration>>,
@@ -94,8 +94,8 @@
 
 /// Follows the configuration in the store on a thread of its own.
 ///
-/// The revisions of the copies that [`ConfigurationFeed::updates`] delivers never decrease,
-/// and a key that is withdrawn in one copy is withdrawn in all later ones.
+/// The revisions of the copies that [`ConfigurationFeed::updates`] delivers never
+/// decrease, and a key that is withdrawn in one copy is withdrawn in all later ones.
 pub struct ConfigurationFeed {
     shared: Arc<Shared>,
     updates: Receiver<Arc<Configuration>>,
@@ -133,8 +133,8 @@
         })
     }
 
-    /// The channel that delivers each new copy. Clones of the receiver share one queue, so
-    /// each copy reaches only one of them.
+    /// The channel that delivers each new copy. Clones of the receiver share one queue,
+    /// so each copy reaches only one of them.
     pub fn updates(&self) -> &Receiver<Arc<Configuration>> {
         &self.updates
     }
@@ -144,8 +144,9 @@
         self.shared.lock().current().cloned()
     }
 
-    /// Milliseconds since the store was last known to hold nothing newer than the copy, from
-    /// its own response or from the report of a peer. `None` if that was never known.
+    /// Milliseconds since the store was last known to hold nothing newer than the copy,
+    /// from its own response or from the report of a peer. `None` if that was never
+    /// known.
     pub fn store_contact_age_ms(&self) -> Option<u64> {
         let confirmed_at_ms = self.shared.lock().confirmed_at_ms()?;
         Some(self.shared.clock.now_ms().saturating_sub(confirmed_at_ms))
@@ -153,8 +154,9 @@
 
     /// Takes the configuration of a peer if it is newer than the copy.
     ///
-    /// `contact_age_ms` is the peer's own [`store_contact_age_ms`] when it responded, plus
-    /// the time since it was asked, which the caller adds. Returns whether the copy changed.
+    /// `contact_age_ms` is the peer's own [`store_contact_age_ms`] when it responded,
+    /// plus the time since it was asked, which the caller adds. Returns whether the copy
+    /// changed.
     ///
     /// [`store_contact_age_ms`]: ConfigurationFeed::store_contact_age_ms
     pub fn offer_peer_snapshot(
@@ -168,9 +170,9 @@
         changed
     }
 
-    /// Takes the configuration revision and the store contact age that a peer reported in a
-    /// heartbeat. If the peer has a newer revision, the store is asked at once and true is
-    /// returned, so that the caller can request the peer's snapshot.
+    /// Takes the configuration revision and the store contact age that a peer reported in
+    /// a heartbeat. If the peer has a newer revision, the store is asked at once and true
+    /// is returned, so that the caller can request the peer's snapshot.
     pub fn note_peer_revision(&self, revision: u64, contact_age_ms: Option<u64>) -> bool {
         let is_behind = self.shared.is_behind(revision);
         if is_behind {
@@ -196,8 +198,8 @@
         self.shared.lock().withdrawn_without_record()
     }
 
-    /// Ends the thread and its watch, and waits for a store call in progress, which ends at
-    /// its deadline at the latest.
+    /// Ends the thread and its watch, and waits for a store call in progress, which ends
+    /// at its deadline at the latest.
     pub fn close(self) {
         self.shared.closed.store(true, Ordering::SeqCst);
         let _ = self.thread.join();
--- a/crates/store/src/configuration/follow.rs
+++ b/crates/store/src/configuration/follow.rs
@@ -1,8 +1,8 @@
 //! The thread of a [`ConfigurationFeed`](super::feed::ConfigurationFeed).
 //!
-//! It watches the configuration for changes and polls the newest revision, because a watch
-//! can stop delivering changes without an error. It reads the whole configuration only when
-//! the copy is behind.
+//! It watches the configuration for changes and polls the newest revision, because a
+//! watch can stop delivering changes without an error. It reads the whole configuration
+//! only when the copy is behind.
 
 use std::sync::Arc;
 use std::thread;
@@ -64,8 +64,8 @@
         self.close_watch();
     }
 
-    /// Does what is due: replaces the watch, polls, or opens a missing watch. If nothing is
-    /// due, waits for changes.
+    /// Does what is due: replaces the watch, polls, or opens a missing watch. If nothing
+    /// is due, waits for changes.
     fn step(&mut self) -> Result<(), StoreError> {
         let now_ms = self.shared.clock.now_ms();
         let due = now_ms >= self.next_poll_ms || self.shared.take_poll_request();
@@ -99,8 +99,8 @@
         Ok(())
     }
 
-    /// Asks the store for the newest revision. A watch that does not deliver the change of
-    /// that revision is replaced.
+    /// Asks the store for the newest revision. A watch that does not deliver the change
+    /// of that revision is replaced.
     fn poll(&mut self, asked_at_ms: u64) -> Result<(), StoreError> {
         let newest = self.store.newest_revision(CONFIG_PREFIX)?;
         if self.shared.is_behind(newest) {
@@ -114,8 +114,8 @@
         Ok(())
     }
 
-    /// Records that the copy was current at `asked_at_ms`, unless the store reports an older
-    /// revision than that of the copy, as it does after losing changes.
+    /// Records that the copy was current at `asked_at_ms`, unless the store reports an
+    /// older revision than that of the copy, as it does after losing changes.
     fn confirm(&self, newest: u64, asked_at_ms: u64) {
         match self.shared.revision() {
             Some(held) if held > newest => {
@@ -129,9 +129,9 @@
     /// that continues from there.
     ///
     /// The store's current revision is read before the newest revision of the
-    /// configuration. A copy at the latter therefore misses no change up to the former, and
-    /// the watch can start after it. The configuration is not read each time, because at the
-    /// target size that is megabytes per replacement.
+    /// configuration. A copy at the latter therefore misses no change up to the former,
+    /// and the watch can start after it. The configuration is not read each time, because
+    /// at the target size that is megabytes per replacement.
     fn replace_watch(&mut self) -> Result<(), StoreError> {
         self.close_watch();
         let asked_at_ms = self.shared.clock.now_ms();
--- a/crates/store/src/configuration/layout.rs
+++ b/crates/store/src/configuration/layout.rs
@@ -17,8 +17,8 @@
 pub const CONFIG_PREFIX: &str = "config/";
 
 /// Store key written in the same transaction as each deletion of a record. Without this
-/// write, a deletion would not raise the newest revision under [`CONFIG_PREFIX`], and polls
-/// would miss it.
+/// write, a deletion would not raise the newest revision under [`CONFIG_PREFIX`], and
+/// polls would miss it.
 pub const DELETED_KEY: &str = "config/deleted";
 
 /// A type whose values are stored as configuration records.
@@ -65,8 +65,8 @@
     format!("{CONFIG_PREFIX}{}/", T::KIND)
 }
 
-/// Builds the configuration from a read of all keys under [`CONFIG_PREFIX`]. A record that
-/// cannot be decoded is left out and logged, so that a malformed customer key is not
+/// Builds the configuration from a read of all keys under [`CONFIG_PREFIX`]. A record
+/// that cannot be decoded is left out and logged, so that a malformed customer key is not
 /// accepted from callers.
 pub fn configuration_of(range: &Range) -> Configuration {
     let mut configuration = Configuration::default();
--- a/crates/store/src/configuration/state.rs
+++ b/crates/store/src/configuration/state.rs
@@ -38,14 +38,15 @@
         self.current.as_ref().map(|current| current.revision)
     }
 
-    /// Whether a configuration at `revision` would be newer than the copy, or there is none.
+    /// Whether a configuration at `revision` would be newer than the copy, or there is
+    /// none.
     pub fn is_behind(&self, revision: u64) -> bool {
         self.revision().is_none_or(|current| current < revision)
     }
 
-    /// Replaces the copy by `configuration`, read from the store or received from a peer, if
-    /// that is newer. From one that is not newer, only the withdrawals of keys are taken.
-    /// Returns the new copy if anything changed.
+    /// Replaces the copy by `configuration`, read from the store or received from a peer,
+    /// if that is newer. From one that is not newer, only the withdrawals of keys are
+    /// taken. Returns the new copy if anything changed.
     pub fn offer(&mut self, configuration: Configuration) -> Option<Arc<Configuration>> {
         let before = self.withdrawn.len();
         self.record_withdrawals(&configuration);
@@ -97,8 +98,8 @@
     }
 
     /// Records that the store held nothing newer than `revision` at `at_ms`, the time at
-    /// which it was asked. This confirms the copy as current at that time; it has no effect
-    /// if the copy is older than `revision`.
+    /// which it was asked. This confirms the copy as current at that time; it has no
+    /// effect if the copy is older than `revision`.
     pub fn confirm_current(&mut self, revision: u64, at_ms: u64) {
         if !self.is_behind(revision) {
             self.confirmed_at_ms = self.confirmed_at_ms.max(Some(at_ms));
--- a/crates/store/src/etcd/mod.rs
+++ b/crates/store/src/etcd/mod.rs
@@ -33,8 +33,8 @@
 /// Addresses of the store, and deadlines of the calls to it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EtcdSettings {
-    /// `IP:PORT` of each member of the cluster. One is used until a call to it fails, then
-    /// the next.
+    /// `IP:PORT` of each member of the cluster. One is used until a call to it fails,
+    /// then the next.
     pub addresses: Vec<String>,
     /// Time limit for establishing a connection, in milliseconds.
     pub connect_timeout_ms: u64,
@@ -43,9 +43,9 @@
     pub first_byte_timeout_ms: u64,
     /// Time limit for the body of a response, in milliseconds. Does not apply to watches.
     pub body_timeout_ms: u64,
-    /// Time without a received byte after which a watch fails, in milliseconds. Longer than
-    /// `FeedSettings::watch_replace_ms`, so that the feed replaces a quiet watch before it
-    /// fails.
+    /// Time without a received byte after which a watch fails, in milliseconds. Longer
+    /// than `FeedSettings::watch_replace_ms`, so that the feed replaces a quiet watch
+    /// before it fails.
     pub watch_progress_ms: u64,
 }
 
@@ -103,8 +103,8 @@
         format!("http://{}{path}", addresses[current])
     }
 
-    /// Switches to the next address and drops the idle connections, which may have stopped
-    /// responding together with the one that failed.
+    /// Switches to the next address and drops the idle connections, which may have
+    /// stopped responding together with the one that failed.
     fn switch_member(&self) {
         self.current_member.fetch_add(1, Ordering::Relaxed);
         let agent = transport::call_agent(&self.settings);
--- a/crates/store/src/etcd/wire.rs
+++ b/crates/store/src/etcd/wire.rs
@@ -19,9 +19,9 @@
         .map_err(|error| StoreError::Protocol(format!("invalid base64: {error}")))
 }
 
-/// The `key` and `range_end` that select all keys that start with `prefix`, which must not
-/// be empty. The end is exclusive: the prefix with its last byte increased by one. That
-/// cannot overflow, because all keys of jayreel are ASCII.
+/// The `key` and `range_end` that select all keys that start with `prefix`, which must
+/// not be empty. The end is exclusive: the prefix with its last byte increased by one.
+/// That cannot overflow, because all keys of jayreel are ASCII.
 pub(super) fn prefix_range(prefix: &str) -> Value {
     let mut end = prefix.as_bytes().to_vec();
     if let Some(last) = end.last_mut() {
@@ -77,6 +77,7 @@
     pub(super) revision: u64,
 }
 
+/// One key of a range response or of a watch event. A deletion has no value.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct KeyValue {
@@ -112,6 +113,8 @@
 }
 
 impl RangeResponse {
+    /// Decodes the keys. A response without a header, and so without a revision, is an
+    /// error.
     pub(super) fn into_range(self) -> Result<Range, StoreError> {
         let entries: Result<Vec<Entry>, StoreError> =
             self.kvs.into_iter().map(KeyValue::into_entry).collect();
--- a/crates/store/src/keyspace.rs
+++ b/crates/store/src/keyspace.rs
@@ -14,7 +14,9 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 struct Lease {
     ttl_ms: u64,
+    /// By the caller's clock; moved on by each renewal.
     expires_at_ms: u64,
+    /// The keys to delete when the lease ends.
     keys: BTreeSet<String>,
 }
 
@@ -217,8 +219,8 @@
         true
     }
 
-    /// Ends the leases that were not renewed within their time to live, each in a revision
-    /// of its own.
+    /// Ends the leases that were not renewed within their time to live, each in a
+    /// revision of its own.
     pub fn expire_leases(&mut self, now_ms: u64) {
         let expired: Vec<LeaseId> = self
             .leases
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -12,8 +12,10 @@
 /// How often a waiting watch reads the clock, so that leases expire during the wait.
 const CLOCK_CHECK_MS: u64 = 20;
 
+/// State shared by the clones of a store and its watches.
 struct Shared {
     keyspace: Mutex<Keyspace>,
+    /// Wakes waiting watches after a change or a compaction.
     changed: Condvar,
     clock: Arc<dyn Clock>,
 }
--- a/crates/store/src/registration.rs
+++ b/crates/store/src/registration.rs
@@ -34,8 +34,8 @@
     pub ttl_s: u64,
     /// How often the lease is renewed, in milliseconds.
     pub renew_interval_ms: u64,
-    /// The record is read back on every n-th renewal, and written again if it is missing or
-    /// attached to another lease.
+    /// The record is read back on every n-th renewal, and written again if it is missing
+    /// or attached to another lease.
     pub check_every: u64,
 }
 
@@ -49,10 +49,12 @@
     }
 }
 
+/// State shared by the registration's thread and its owner.
 struct Shared {
     store: Arc<dyn Store>,
     clock: Arc<dyn Clock>,
     key: String,
+    /// The record as JSON.
     value: Mutex<Vec<u8>>,
     /// The next renewal writes the record, because its value is new or the last write
     /// may have failed.
@@ -137,8 +139,8 @@
         Ok(())
     }
 
-    /// Revokes the lease, which deletes the record, and waits for the thread. If the store
-    /// does not respond, the record stays until the lease expires.
+    /// Revokes the lease, which deletes the record, and waits for the thread. If the
+    /// store does not respond, the record stays until the lease expires.
     pub fn close(self) {
         self.shared.closed.store(true, Ordering::SeqCst);
         let _ = self.thread.join();
@@ -189,8 +191,8 @@
         self.shared.write_needed.store(true, Ordering::SeqCst);
     }
 
-    /// Renews the lease, or gets a new one, and writes the record if the lease is new, the
-    /// record is missing or `write_needed` is set.
+    /// Renews the lease, or gets a new one, and writes the record if the lease is new,
+    /// the record is missing or `write_needed` is set.
     fn renew_or_register(&mut self, write_needed: bool) -> Result<(), StoreError> {
         self.renewals += 1;
         let lease = match self.renew_lease()? {
--- a/crates/store/src/typed.rs
+++ b/crates/store/src/typed.rs
@@ -36,8 +36,8 @@
 pub enum RecordError {
     /// The record changed since the expected version. Nothing was written.
     Conflict,
-    /// The stored value cannot be decoded, or the given one cannot be encoded. Nothing was
-    /// written.
+    /// The stored value cannot be decoded, or the given one cannot be encoded. Nothing
+    /// was written.
     Malformed(String),
     /// The store call failed. [`StoreError`] tells whether the write may have been made.
     Store(StoreError),
@@ -213,8 +213,8 @@
     /// Reads the record, passes it to `change` and writes the result, and starts over if
     /// another writer changed the record in between.
     ///
-    /// `change` gets the current value, or `None` if there is no record. It returns the new
-    /// value, or `None` to leave the record as it is. Returns the record as stored
+    /// `change` gets the current value, or `None` if there is no record. It returns the
+    /// new value, or `None` to leave the record as it is. Returns the record as stored
     /// afterwards.
     ///
     /// # Errors
@@ -242,16 +242,16 @@
 }
 
 impl<T: DeserializeOwned + PartialEq + Serialize> Record<T> {
-    /// Creates the record with `value`, or reads it if it exists. The claimant whose value
-    /// is stored has acquired the claim.
+    /// Creates the record with `value`, or reads it if it exists. The claimant whose
+    /// value is stored has acquired the claim.
     ///
     /// Each claimant must give a different value: after a lost response, only the stored
     /// value tells whose write was applied.
     ///
     /// # Errors
     ///
-    /// As [`Record::write`]. After an error, a request that is still under way may acquire
-    /// the claim later.
+    /// As [`Record::write`]. After an error, a request that is still under way may
+    /// acquire the claim later.
     pub fn claim(&self, value: T) -> Result<Claim<T>, RecordError> {
         let mut attempt = 1;
         loop {
--- a/crates/store/tests/editor.rs
+++ b/crates/store/tests/editor.rs
@@ -98,8 +98,8 @@
     gateway.close();
 }
 
-/// Guards against reporting "not accepted" for a change that is applied later. The request
-/// reaches the store 300 ms late, after the editor has cancelled the change.
+/// Guards against reporting "not accepted" for a change that is applied later. The
+/// request reaches the store 300 ms late, after the editor has cancelled the change.
 #[test]
 fn delayed_request_of_a_cancelled_change_has_no_effect() {
     let gateway = gateway();
@@ -136,7 +136,8 @@
     gateway.close();
 }
 
-/// Guards against reporting an unknown outcome although the store was certainly not reached.
+/// Guards against reporting an unknown outcome although the store was certainly not
+/// reached.
 #[test]
 fn change_is_not_accepted_if_the_connection_is_refused() {
     let gateway = gateway();
@@ -349,7 +350,8 @@
     );
 }
 
-/// Guards against a deletion that does not raise the newest revision, so that polls miss it.
+/// Guards against a deletion that does not raise the newest revision, so that polls miss
+/// it.
 #[test]
 fn deletion_raises_the_newest_revision() {
     let store = MemoryStore::new();
--- a/crates/store/tests/editor_refusal.rs
+++ b/crates/store/tests/editor_refusal.rs
@@ -1,5 +1,5 @@
-//! Tests of configuration changes in a store that fails between the grant of the lease and
-//! the transaction.
+//! Tests of configuration changes in a store that fails between the grant of the lease
+//! and the transaction.
 
 use std::sync::Arc;
 
--- a/crates/store/tests/etcd.rs
+++ b/crates/store/tests/etcd.rs
@@ -1,4 +1,5 @@
-//! Tests of the etcd client with a substitute gateway: operations, deadlines and errors.
+//! Tests of the etcd client with [`StoreGateway`] in place of the etcd gateway:
+//! operations, deadlines and errors.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -174,8 +175,8 @@
     gateway.close();
 }
 
-/// Guards against calls that wait without limit on a connection that stays open but does not
-/// respond, and against reusing that connection.
+/// Guards against calls that wait without limit on a connection that stays open but does
+/// not respond, and against reusing that connection.
 #[test_case(false; "connections open at that time")]
 #[test_case(true; "all connections")]
 fn call_on_an_unresponsive_connection_fails(freeze: bool) {
@@ -199,8 +200,8 @@
     gateway.close();
 }
 
-/// Guards against reporting an unknown outcome, or counting a call, although the connection
-/// was refused and nothing was sent.
+/// Guards against reporting an unknown outcome, or counting a call, although the
+/// connection was refused and nothing was sent.
 #[test]
 fn refused_connection_means_that_nothing_was_changed() {
     let gateway = gateway();
--- a/crates/store/tests/feed.rs
+++ b/crates/store/tests/feed.rs
@@ -24,8 +24,8 @@
     StoreGateway::start(address, MemoryStore::new()).unwrap()
 }
 
-/// A feed with a short timeout for silent connections, which does not replace its watch for
-/// lack of changes during a test.
+/// A feed with a short timeout for silent connections, which does not replace its watch
+/// for lack of changes during a test.
 fn feed(gateway: &StoreGateway, poll_interval_ms: u64) -> ConfigurationFeed {
     let mut settings = EtcdSettings::new(vec![gateway.address().to_string()]);
     settings.first_byte_timeout_ms = 500;
@@ -37,7 +37,8 @@
     ConfigurationFeed::start(store, Arc::new(SystemClock::new()), settings).unwrap()
 }
 
-/// Edits the store behind the gateway directly, so that it works while the gateway is down.
+/// Edits the store behind the gateway directly, so that it works while the gateway is
+/// down.
 fn editor(gateway: &StoreGateway) -> ConfigurationEditor {
     let store: Arc<dyn Store> = Arc::new(gateway.store().clone());
     ConfigurationEditor::new(store, EditorSettings::default())
@@ -96,8 +97,8 @@
     wait_until("the first copy", || feed.current().is_some());
 }
 
-/// Waits until the feed delivers a new customer `name`, so that its watch is open, and then
-/// makes the gateway stop sending on all open connections without closing them.
+/// Waits until the feed delivers a new customer `name`, so that its watch is open, and
+/// then makes the gateway stop sending on all open connections without closing them.
 fn silence_watch(gateway: &StoreGateway, feed: &ConfigurationFeed, name: &str) {
     wait_for_copy(feed);
     editor(gateway).create(name, &customer()).unwrap();
@@ -108,7 +109,8 @@
     });
 }
 
-/// Guards against a feed that notices changes only by polling. It polls once an hour here.
+/// Guards against a feed that notices changes only by polling. It polls once an hour
+/// here.
 #[test]
 fn watch_delivers_changes() {
     let gateway = gateway();
@@ -123,8 +125,8 @@
     gateway.close();
 }
 
-/// Guards against a feed that never learns of changes and deletions because its watch stops
-/// delivering while the connection stays open.
+/// Guards against a feed that never learns of changes and deletions because its watch
+/// stops delivering while the connection stays open.
 #[test]
 fn polling_replaces_a_watch_that_stopped_delivering() {
     let gateway = gateway();
@@ -141,8 +143,8 @@
     gateway.close();
 }
 
-/// Guards against a feed that does not recover from an outage, or that misses changes that
-/// were made and compacted during the outage, so that a watch cannot deliver them.
+/// Guards against a feed that does not recover from an outage, or that misses changes
+/// that were made and compacted during the outage, so that a watch cannot deliver them.
 #[test]
 fn feed_recovers_from_an_outage_with_a_compaction() {
     let gateway = gateway();
@@ -164,8 +166,8 @@
     gateway.close();
 }
 
-/// Guards against an instance that gets no configuration, or returns to an older one, while
-/// the store is down and only peers can provide it.
+/// Guards against an instance that gets no configuration, or returns to an older one,
+/// while the store is down and only peers can provide it.
 #[test]
 fn peers_provide_the_configuration_while_the_store_is_down() {
     let gateway = gateway();
@@ -185,8 +187,8 @@
     gateway.close();
 }
 
-/// Guards against replacing the copy by the older configuration of a store that has lost its
-/// newest changes.
+/// Guards against replacing the copy by the older configuration of a store that has lost
+/// its newest changes.
 #[test]
 fn store_that_is_behind_the_copy_is_ignored() {
     let gateway = gateway();
@@ -202,7 +204,8 @@
     gateway.close();
 }
 
-/// Guards against waiting for the next poll although a peer has reported a newer revision.
+/// Guards against waiting for the next poll although a peer has reported a newer
+/// revision.
 #[test]
 fn newer_revision_at_a_peer_causes_a_read() {
     let gateway = gateway();
--- a/crates/store/tests/memory.rs
+++ b/crates/store/tests/memory.rs
@@ -48,7 +48,8 @@
     assert!(matches!(&changes[..], [Change::Delete { key, .. }] if key == "i/a"));
 }
 
-/// Guards against a key that is deleted with a lease from which a later write detached it.
+/// Guards against a key that is deleted with a lease from which a later write detached
+/// it.
 #[test]
 fn write_moves_a_key_to_its_new_lease() {
     let store = MemoryStore::new();
--- a/crates/store/tests/registration.rs
+++ b/crates/store/tests/registration.rs
@@ -69,8 +69,8 @@
         .unwrap_or(0)
 }
 
-/// Guards against a registration that is not written, not updated by `set_value`, or still
-/// listed after the instance has closed it.
+/// Guards against a registration that is not written, not updated by `set_value`, or
+/// still listed after the instance has closed it.
 #[test]
 fn registration_is_listed_until_closed() {
     let (gateway, _) = gateway();
@@ -114,8 +114,8 @@
 }
 
 /// Guards against a record attached to a lease that is not renewed. The first write is
-/// delayed by 400 ms and reported as lost. If the write were repeated with a new lease, the
-/// delayed one would replace it and attach the record to the first lease.
+/// delayed by 400 ms and reported as lost. If the write were repeated with a new lease,
+/// the delayed one would replace it and attach the record to the first lease.
 #[test]
 fn record_keeps_the_renewed_lease_after_a_lost_response() {
     let (gateway, clock) = gateway();
--- a/crates/store/tests/typed.rs
+++ b/crates/store/tests/typed.rs
@@ -62,8 +62,8 @@
     assert_eq!(weights.read().unwrap().unwrap().value.len(), 20);
 }
 
-/// Guards against two successors of one incarnation, and against a claimant that takes its
-/// own claim for that of another after a lost request or response.
+/// Guards against two successors of one incarnation, and against a claimant that takes
+/// its own claim for that of another after a lost request or response.
 #[test_case(Faults { lose_answers: 1, ..Faults::default() }; "lost response")]
 #[test_case(Faults { lose_requests: 1, ..Faults::default() }; "lost request")]
 fn claim_is_acquired_once(faults: Faults) {
