--- a/crates/spec/src/configuration_resolve.rs
+++ b/crates/spec/src/configuration_resolve.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use jayreel_store::configuration::Verdict;
+use jayreel_store::configuration::EditOutcome;
 use jayreel_store::configuration::change;
 use jayreel_store::{Transaction, Write};
 
@@ -51,9 +51,9 @@
         }
         let marker = self.operators[index].last().id.marker_key();
         match change::verdict(self.store.get(&marker)) {
-            Verdict::Accepted { .. } => Report::Accepted,
-            Verdict::NotAccepted => Report::NotAccepted,
-            Verdict::Unknown => Report::Unknown,
+            EditOutcome::Accepted { .. } => Report::Accepted,
+            EditOutcome::NotAccepted => Report::NotAccepted,
+            EditOutcome::Unknown => Report::Unknown,
         }
     }
 
