--- a/crates/core/src/store_link/reader.rs
+++ b/crates/core/src/store_link/reader.rs
@@ -11,7 +11,9 @@
 use jayreel_model::Incarnation;
 use jayreel_quota::home_weights::HomeRecord;
 use jayreel_scheduler::Event;
-use jayreel_store::{ConfigurationFeed, Registration, home_weights_record, registrations};
+use jayreel_store::{
+    ConfigurationFeed, Registration, home_weights_record, registrations,
+};
 
 use crate::peer_link::PeerSender;
 use crate::shell::ShellEvent;
--- a/crates/spec/src/configuration_operator.rs
+++ b/crates/spec/src/configuration_operator.rs
@@ -211,7 +211,7 @@
     ) -> Transaction {
         let attempt = &self.operators[index].attempts.last().expect("under way");
         let change = attempt.edit.transaction(attempt.base, fault);
-        change::marked(change, &attempt.id, attempt.lease)
+        change::with_marker(change, &attempt.id, attempt.lease)
     }
 
     fn send(&self, index: usize, fault: Option<SeededFault>) -> Vec<World> {
--- a/crates/spec/src/configuration_resolve.rs
+++ b/crates/spec/src/configuration_resolve.rs
@@ -50,7 +50,7 @@
             return Report::NotAccepted;
         }
         let marker = self.operators[index].last().id.marker_key();
-        match change::verdict(self.store.get(&marker)) {
+        match change::read_outcome(self.store.get(&marker)) {
             EditOutcome::Accepted { .. } => Report::Accepted,
             EditOutcome::NotAccepted => Report::NotAccepted,
             EditOutcome::Unknown => Report::Unknown,
