--- a/crates/core/src/admin/confirm.rs
+++ b/crates/core/src/admin/confirm.rs
@@ -6,11 +6,11 @@
 use crossbeam::channel::bounded;
 use jayreel_model::KeyHash;
 use jayreel_peer::MessageBody;
-use jayreel_server::admin::AdminAnswer;
+use jayreel_server::admin::AdminResponse;
 use jayreel_store::Accepted;
 use serde_json::json;
 
-use crate::admin::{Administration, answer};
+use crate::admin::{AdminApi, answer};
 use crate::shell::{ShellEvent, StatusReport};
 
 /// How long an operator waits for all instances to confirm a change.
@@ -30,19 +30,19 @@
 /// A change is accepted, but some instances have not confirmed it.
 pub(super) const STATUS_UNCONFIRMED: u16 = 202;
 
-impl Administration {
+impl AdminApi {
     /// The answer to an accepted change, after waiting for all instances.
-    pub(super) fn confirm(&self, status: u16, accepted: Accepted) -> AdminAnswer {
+    pub(super) fn confirm(&self, status: u16, accepted: Accepted) -> AdminResponse {
         self.confirm_change(status, accepted, None)
     }
 
-    /// Like [`Administration::confirm`]; meanwhile the withdrawal is repeated to instances
+    /// Like [`AdminApi::confirm`]; meanwhile the withdrawal is repeated to instances
     /// that have not confirmed it.
     pub(super) fn confirm_withdrawal(
         &self,
         accepted: Accepted,
         withdrawn: KeyHash,
-    ) -> AdminAnswer {
+    ) -> AdminResponse {
         self.confirm_change(200, accepted, Some(withdrawn))
     }
 
@@ -51,7 +51,7 @@
         status: u16,
         accepted: Accepted,
         withdrawn: Option<KeyHash>,
-    ) -> AdminAnswer {
+    ) -> AdminResponse {
         let (unconfirmed, until_s) = self.unconfirmed(accepted.revision, withdrawn);
         let status = if unconfirmed.is_empty() {
             status
--- a/crates/core/src/admin/mod.rs
+++ b/crates/core/src/admin/mod.rs
@@ -8,8 +8,8 @@
 use jayreel_model::{Customer, CustomerKey, Endpoint, KeyHash, Profile, Route};
 use jayreel_quota::home_weights::HomeRecord;
 use jayreel_server::admin::{
-    AdminAnswer, AdminError, AdminErrorKind, AdminHandler, AdminOperation, AdminRequest,
-    AdminResource, ExpectedVersion,
+    AdminError, AdminErrorKind, AdminHandler, AdminOperation, AdminRequest,
+    AdminResource, AdminResponse, ExpectedVersion,
 };
 use jayreel_store::configuration::{ConfigRecord, Editable};
 use jayreel_store::registration::INSTANCES_PREFIX;
@@ -25,7 +25,7 @@
 use crate::shell::ShellEvent;
 
 /// Serves operators.
-pub(crate) struct Administration {
+pub(crate) struct AdminApi {
     editor: ConfigurationEditor,
     store: Arc<dyn Store>,
     feed: Arc<ConfigurationFeed>,
@@ -34,7 +34,7 @@
     offline_grace_s: u64,
 }
 
-impl Administration {
+impl AdminApi {
     /// An API over `store`.
     pub(crate) fn new(
         store: Arc<dyn Store>,
@@ -42,9 +42,9 @@
         peers: PeerSender,
         events: Sender<ShellEvent>,
         offline_grace_s: u64,
-    ) -> Administration {
+    ) -> AdminApi {
         let editor = ConfigurationEditor::new(Arc::clone(&store), Default::default());
-        Administration {
+        AdminApi {
             editor,
             store,
             feed,
@@ -54,7 +54,7 @@
         }
     }
 
-    fn list(&self, resource: AdminResource) -> Result<AdminAnswer, AdminError> {
+    fn list(&self, resource: AdminResource) -> Result<AdminResponse, AdminError> {
         match resource {
             AdminResource::Customers => self.list_of::<Customer>(),
             AdminResource::Endpoints => self.list_of::<Endpoint>(),
@@ -68,7 +68,7 @@
         &self,
         resource: AdminResource,
         name: &str,
-    ) -> Result<AdminAnswer, AdminError> {
+    ) -> Result<AdminResponse, AdminError> {
         match resource {
             AdminResource::Customers => self.get_one::<Customer>(name),
             AdminResource::Endpoints => self.get_one::<Endpoint>(name),
@@ -83,7 +83,7 @@
         resource: AdminResource,
         name: &str,
         request: &AdminRequest,
-    ) -> Result<AdminAnswer, AdminError> {
+    ) -> Result<AdminResponse, AdminError> {
         match resource {
             AdminResource::Customers => self.put_one::<Customer>(name, request),
             AdminResource::Endpoints => self.put_one::<Endpoint>(name, request),
@@ -101,7 +101,7 @@
         resource: AdminResource,
         name: &str,
         request: &AdminRequest,
-    ) -> Result<AdminAnswer, AdminError> {
+    ) -> Result<AdminResponse, AdminError> {
         let version = match request.expected {
             Some(ExpectedVersion::Is(version)) => Some(version),
             Some(ExpectedVersion::Absent) | None => None,
@@ -124,7 +124,7 @@
         Ok(self.confirm(200, accepted.map_err(edit_error)?))
     }
 
-    fn list_of<T: ConfigRecord + Serialize>(&self) -> Result<AdminAnswer, AdminError> {
+    fn list_of<T: ConfigRecord + Serialize>(&self) -> Result<AdminResponse, AdminError> {
         let records = self.editor.list::<T>().map_err(edit_error)?;
         let entries: Vec<Value> = records
             .into_iter()
@@ -138,7 +138,7 @@
     fn get_one<T: ConfigRecord + Serialize>(
         &self,
         name: &str,
-    ) -> Result<AdminAnswer, AdminError> {
+    ) -> Result<AdminResponse, AdminError> {
         let Versioned { version, value } =
             self.editor.read::<T>(name).map_err(edit_error)?;
         Ok(answer(200, Some(version), &json!(value)))
@@ -148,7 +148,7 @@
         &self,
         name: &str,
         request: &AdminRequest,
-    ) -> Result<AdminAnswer, AdminError> {
+    ) -> Result<AdminResponse, AdminError> {
         let record: T = serde_json::from_slice(&request.body).map_err(|error| {
             AdminError::new(AdminErrorKind::Invalid, format!("invalid record: {error}"))
         })?;
@@ -168,7 +168,7 @@
         }
     }
 
-    fn issue_key(&self, request: &AdminRequest) -> Result<AdminAnswer, AdminError> {
+    fn issue_key(&self, request: &AdminRequest) -> Result<AdminResponse, AdminError> {
         let body: Value = serde_json::from_slice(&request.body).map_err(|error| {
             AdminError::new(AdminErrorKind::Invalid, format!("invalid body: {error}"))
         })?;
@@ -193,7 +193,7 @@
 
     /// Withdraws a key in the store, and at the same time here and at all peers, so that
     /// it also ends in an availability zone without the store.
-    fn withdraw_key(&self, name: &str) -> Result<AdminAnswer, AdminError> {
+    fn withdraw_key(&self, name: &str) -> Result<AdminResponse, AdminError> {
         let hash = KeyHash::try_from(name.to_string()).map_err(|_| {
             AdminError::new(AdminErrorKind::Invalid, "a key is named by its blake3 hash")
         })?;
@@ -219,7 +219,7 @@
     }
 
     /// States that a process is dead: its registration and its share go.
-    fn forget_instance(&self, name: &str) -> Result<AdminAnswer, AdminError> {
+    fn forget_instance(&self, name: &str) -> Result<AdminResponse, AdminError> {
         self.delete_registration(name)?;
         let result = home_record::<HomeRecord>(&self.store)
             .update(|record| record.and_then(|record| record.forget(name)));
@@ -244,7 +244,7 @@
         }
     }
 
-    fn show_status(&self) -> Result<AdminAnswer, AdminError> {
+    fn show_status(&self) -> Result<AdminResponse, AdminError> {
         let report = self.status().ok_or_else(|| {
             AdminError::new(AdminErrorKind::Busy, "the reducer did not answer in time")
         })?;
@@ -254,8 +254,8 @@
     }
 }
 
-impl AdminHandler for Administration {
-    fn handle(&self, request: AdminRequest) -> Result<AdminAnswer, AdminError> {
+impl AdminHandler for AdminApi {
+    fn handle(&self, request: AdminRequest) -> Result<AdminResponse, AdminError> {
         let result = match &request.operation {
             AdminOperation::List(resource) => self.list(*resource),
             AdminOperation::Get(resource, name) => self.get(*resource, name),
@@ -279,8 +279,8 @@
     }
 }
 
-fn answer(status: u16, version: Option<u64>, body: &Value) -> AdminAnswer {
-    AdminAnswer {
+fn answer(status: u16, version: Option<u64>, body: &Value) -> AdminResponse {
+    AdminResponse {
         status,
         version,
         body: body.to_string().into_bytes(),
--- a/crates/core/src/observe.rs
+++ b/crates/core/src/call_metrics.rs
@@ -24,16 +24,16 @@
 }
 
 /// Records waiting, first token, whole calls, whole programs and refusals, by customer and class.
-pub(crate) struct Observer {
+pub(crate) struct CallMetrics {
     clock: Clock,
     metrics: Metrics,
     state: Mutex<State>,
 }
 
-impl Observer {
+impl CallMetrics {
     /// An observer that records to `metrics`.
-    pub(crate) fn new(clock: Clock, metrics: Metrics) -> Observer {
-        Observer {
+    pub(crate) fn new(clock: Clock, metrics: Metrics) -> CallMetrics {
+        CallMetrics {
             clock,
             metrics,
             state: Mutex::new(State::default()),
--- a/crates/core/src/logging.rs
+++ b/crates/core/src/logging.rs
@@ -50,7 +50,7 @@
 /// # Errors
 ///
 /// If logging is already set up, or its thread cannot be started.
-pub(crate) fn start_unblocking(
+pub(crate) fn start_nonblocking(
     level: log::LevelFilter,
     instance: &str,
 ) -> eyre::Result<()> {
--- a/crates/core/src/main.rs
+++ b/crates/core/src/main.rs
@@ -2,13 +2,13 @@
 
 mod admin;
 mod args;
+mod call_metrics;
 mod clock;
 mod dev;
 mod engine_link;
 mod instance;
 mod logging;
 mod node;
-mod observe;
 mod operator;
 mod peer_link;
 mod serve;
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -35,7 +35,7 @@
         }
     };
     settings.advertised = advertised.unwrap_or(settings.advertised);
-    logging::start_unblocking(log::LevelFilter::Info, &settings.name)?;
+    logging::start_nonblocking(log::LevelFilter::Info, &settings.name)?;
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/core/src/shell/forward.rs
+++ b/crates/core/src/shell/forward.rs
@@ -12,7 +12,7 @@
 };
 use jayreel_scheduler::Event;
 use jayreel_scheduler::event::{CallArrived, CallOperation};
-use jayreel_server::{AnswerSink, ChatFacts, Operation, Responder, ResponderClosed};
+use jayreel_server::{ChatParams, Operation, Responder, ResponderClosed, ResponseSink};
 use serde::{Deserialize, Serialize};
 
 use crate::shell::calls::{CallTable, RequestParts};
@@ -88,7 +88,7 @@
             max_tokens,
             prompt_bound_tokens,
             prefix_hashes,
-        } => Operation::ChatCompletion(ChatFacts {
+        } => Operation::ChatCompletion(ChatParams {
             model: model.clone(),
             stream: facts.stream,
             max_tokens: *max_tokens,
@@ -110,7 +110,7 @@
     answer: AnswerSender,
 }
 
-impl AnswerSink for ForwardSink {
+impl ResponseSink for ForwardSink {
     fn head(
         &mut self,
         status: u16,
--- a/crates/core/src/shell/intake.rs
+++ b/crates/core/src/shell/intake.rs
@@ -8,7 +8,7 @@
 use jayreel_model::{KeyHash, Refusal, RefusalReason, RequestId};
 use jayreel_scheduler::Event;
 use jayreel_scheduler::event::{CallArrived, CallOperation};
-use jayreel_server::{IncomingRequest, Intake, Operation};
+use jayreel_server::{IncomingRequest, Operation, RequestHandler};
 
 use crate::clock::Clock;
 use crate::shell::calls::{CallTable, RequestParts};
@@ -44,7 +44,7 @@
     }
 }
 
-impl Intake for ShellIntake {
+impl RequestHandler for ShellIntake {
     fn submit(&self, request: IncomingRequest) {
         if let Err(refusal) = check_history(&request) {
             return request.responder.refuse(&refusal);
--- a/crates/server/src/admin/mod.rs
+++ b/crates/server/src/admin/mod.rs
@@ -66,7 +66,7 @@
 
 /// The answer to an operator.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct AdminAnswer {
+pub struct AdminResponse {
     /// HTTP status of the success, such as 200, 201 or 204.
     pub status: u16,
     /// Version of the record, for `ETag`.
@@ -167,7 +167,7 @@
     /// # Errors
     ///
     /// An [`AdminError`], which the operator receives.
-    fn handle(&self, request: AdminRequest) -> Result<AdminAnswer, AdminError>;
+    fn handle(&self, request: AdminRequest) -> Result<AdminResponse, AdminError>;
 }
 
 /// A key of an operator, known only by its hash.
--- a/crates/server/src/admin/server.rs
+++ b/crates/server/src/admin/server.rs
@@ -17,7 +17,8 @@
 use tokio::sync::Semaphore;
 
 use crate::admin::{
-    AdminAnswer, AdminError, AdminErrorKind, AdminHandler, AdminKey, AdminRequest, route,
+    AdminError, AdminErrorKind, AdminHandler, AdminKey, AdminRequest, AdminResponse,
+    route,
 };
 use crate::answer::{AnswerBody, Incomplete};
 use crate::body_budget::BodyBudget;
@@ -156,7 +157,7 @@
     }
 
     /// Runs the handler on a thread of the pool.
-    async fn run(&self, request: AdminRequest) -> Result<AdminAnswer, AdminError> {
+    async fn run(&self, request: AdminRequest) -> Result<AdminResponse, AdminError> {
         let busy = |_| {
             let message = "too many administration requests are being handled";
             AdminError::new(AdminErrorKind::Busy, message)
@@ -213,7 +214,7 @@
     AdminError::new(kind, refusal.message)
 }
 
-fn answered(answer: AdminAnswer) -> Result<Response<AnswerBody>, AdminError> {
+fn answered(answer: AdminResponse) -> Result<Response<AnswerBody>, AdminError> {
     let mut response = response(answer.status, "application/json", answer.body);
     if let Some(version) = answer.version
         && let Ok(tag) = HeaderValue::from_str(&format!("\"{version}\""))
--- a/crates/server/src/answer_channel.rs
+++ b/crates/server/src/answer_channel.rs
@@ -10,8 +10,8 @@
 
 use crate::body_budget::Reservation;
 use crate::error_form;
-use crate::intake::Intake;
-use crate::responder::{AnswerSink, ResponderClosed};
+use crate::request_handler::RequestHandler;
+use crate::responder::{ResponderClosed, ResponseSink};
 
 /// Pieces of an answer that wait for the caller to read.
 const QUEUED_PIECES: usize = 16;
@@ -70,7 +70,7 @@
 /// Makes both halves.
 pub(crate) fn channel(
     id: RequestId,
-    intake: Arc<dyn Intake>,
+    intake: Arc<dyn RequestHandler>,
     reservation: Reservation,
 ) -> (HttpSink, PendingAnswer) {
     let (head_sender, head) = oneshot::channel();
@@ -98,7 +98,7 @@
     )
 }
 
-impl AnswerSink for HttpSink {
+impl ResponseSink for HttpSink {
     fn head(
         &mut self,
         status: u16,
@@ -164,7 +164,7 @@
 /// Reports once that the caller has gone, unless the answer ended before.
 pub(crate) struct CallerGuard {
     id: RequestId,
-    intake: Arc<dyn Intake>,
+    intake: Arc<dyn RequestHandler>,
     progress: Arc<Progress>,
     /// The memory of the request body, returned when the answer has been taken.
     _reservation: Reservation,
--- a/crates/server/src/caller.rs
+++ b/crates/server/src/caller.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use crate::handle::CallerService;
-use crate::intake::Intake;
 use crate::listener::Listener;
+use crate::request_handler::RequestHandler;
 use crate::settings::ServerSettings;
 
 /// Serves callers on one address, on a thread of its own.
@@ -31,7 +31,7 @@
     pub fn start(
         address: SocketAddr,
         settings: ServerSettings,
-        intake: Arc<dyn Intake>,
+        intake: Arc<dyn RequestHandler>,
     ) -> io::Result<CallerServer> {
         let service = Arc::new(CallerService::new(intake, settings.clone()));
         let accept_errors = Arc::new(AtomicU64::new(0));
--- a/crates/server/src/chat.rs
+++ b/crates/server/src/chat.rs
@@ -9,7 +9,7 @@
 use serde_json::value::RawValue;
 
 use crate::history;
-use crate::intake::ChatFacts;
+use crate::request_handler::ChatParams;
 
 /// Most bytes of a model name.
 const MAX_MODEL_BYTES: usize = 256;
@@ -47,7 +47,7 @@
 /// # Errors
 ///
 /// [`RefusalReason::InvalidRequest`] with the field at fault.
-pub fn parse(body: &[u8]) -> Result<ChatFacts, Refusal> {
+pub fn parse(body: &[u8]) -> Result<ChatParams, Refusal> {
     let text =
         std::str::from_utf8(body).map_err(|_| invalid("the body is not valid UTF-8"))?;
     let body: ChatBody<'_> = serde_json::from_str(text)
@@ -72,7 +72,7 @@
         .flatten()
         .map(|raw| raw.get().len() as u64)
         .sum::<u64>();
-    Ok(ChatFacts {
+    Ok(ChatParams {
         model: body.model,
         stream: body.stream.unwrap_or(false),
         max_tokens: body.max_completion_tokens.or(body.max_tokens),
--- a/crates/server/src/handle.rs
+++ b/crates/server/src/handle.rs
@@ -14,8 +14,8 @@
 use crate::answer_channel;
 use crate::body_budget::{BodyBudget, Reservation};
 use crate::connection::HttpService;
-use crate::intake::{IncomingRequest, Intake, Operation};
 use crate::listener::Stage;
+use crate::request_handler::{IncomingRequest, Operation, RequestHandler};
 use crate::responder::Responder;
 use crate::settings::ServerSettings;
 use crate::{chat, headers, operation, path, read_body};
@@ -26,7 +26,7 @@
 
 /// Answers the requests of callers.
 pub(crate) struct CallerService {
-    intake: Arc<dyn Intake>,
+    intake: Arc<dyn RequestHandler>,
     settings: ServerSettings,
     budget: Arc<BodyBudget>,
     next_id: AtomicU64,
@@ -34,7 +34,7 @@
 
 impl CallerService {
     pub(crate) fn new(
-        intake: Arc<dyn Intake>,
+        intake: Arc<dyn RequestHandler>,
         settings: ServerSettings,
     ) -> CallerService {
         CallerService {
--- a/crates/server/src/headers.rs
+++ b/crates/server/src/headers.rs
@@ -5,7 +5,7 @@
 use jayreel_model::header::is_hop_by_hop;
 use jayreel_model::{Refusal, RefusalReason};
 
-use crate::intake::CallHeaders;
+use crate::request_handler::CallHeaders;
 
 /// Most bytes of a customer key.
 const MAX_KEY_BYTES: usize = 512;
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,7 +1,7 @@
 //! HTTP towards callers and operators.
 //!
 //! The server checks the form of requests under limits of size and time and hands each
-//! to an [`Intake`]. Answers come back through a [`Responder`].
+//! to a [`RequestHandler`]. Answers come back through a [`Responder`].
 
 pub mod admin;
 mod answer;
@@ -15,21 +15,23 @@
 mod handle;
 mod headers;
 pub mod history;
-pub mod intake;
 mod listener;
 pub mod metrics;
 mod operation;
 mod path;
 mod read_body;
+pub mod request_handler;
 pub mod responder;
 pub mod settings;
 
 pub use crate::admin::{
-    AdminAnswer, AdminError, AdminErrorKind, AdminHandler, AdminKey, AdminOperation,
-    AdminRequest, AdminResource, AdminServer, AdminSettings, ExpectedVersion,
+    AdminError, AdminErrorKind, AdminHandler, AdminKey, AdminOperation, AdminRequest,
+    AdminResource, AdminResponse, AdminServer, AdminSettings, ExpectedVersion,
 };
 pub use crate::caller::CallerServer;
-pub use crate::intake::{CallHeaders, ChatFacts, IncomingRequest, Intake, Operation};
 pub use crate::metrics::Metrics;
-pub use crate::responder::{AnswerSink, Responder, ResponderClosed};
+pub use crate::request_handler::{
+    CallHeaders, ChatParams, IncomingRequest, Operation, RequestHandler,
+};
+pub use crate::responder::{Responder, ResponderClosed, ResponseSink};
 pub use crate::settings::ServerSettings;
--- a/crates/server/src/operation.rs
+++ b/crates/server/src/operation.rs
@@ -6,7 +6,7 @@
 
 use crate::chat;
 use crate::headers::MAX_TOKEN_BYTES;
-use crate::intake::Operation;
+use crate::request_handler::Operation;
 
 /// Body of `POST /v1/programs`.
 #[derive(Deserialize)]
--- a/crates/server/src/intake.rs
+++ b/crates/server/src/request_handler.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Operation {
     /// `POST /v1/chat/completions`.
-    ChatCompletion(ChatFacts),
+    ChatCompletion(ChatParams),
     /// `POST /v1/programs`.
     OpenProgram {
         /// Budget named in the body, in tokens.
@@ -27,7 +27,7 @@
 
 /// What scheduling needs to know of a chat completion.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct ChatFacts {
+pub struct ChatParams {
     /// The model named in the body.
     pub model: String,
     /// Whether the answer is streamed.
@@ -84,7 +84,7 @@
 }
 
 /// Receives requests from the server. Must not block.
-pub trait Intake: Send + Sync {
+pub trait RequestHandler: Send + Sync {
     /// Takes a request over. The answer goes to its responder.
     fn submit(&self, request: IncomingRequest);
     /// The caller of a request went away before the answer was complete.
--- a/crates/server/src/responder.rs
+++ b/crates/server/src/responder.rs
@@ -8,7 +8,7 @@
 
 /// Where the answer to one request goes. The server implements it for its connections;
 /// others may implement it for requests that reach the instance on another way.
-pub trait AnswerSink: Send {
+pub trait ResponseSink: Send {
     /// See [`Responder::head`].
     ///
     /// # Errors
@@ -41,12 +41,12 @@
 
 /// Sends one answer. Dropping it without an answer closes the connection.
 pub struct Responder {
-    sink: Box<dyn AnswerSink>,
+    sink: Box<dyn ResponseSink>,
 }
 
 impl Responder {
     /// A responder that sends to `sink`.
-    pub fn new(sink: Box<dyn AnswerSink>) -> Responder {
+    pub fn new(sink: Box<dyn ResponseSink>) -> Responder {
         Responder { sink }
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Sends a piece of the body. Blocks while the caller reads slowly, so it must not be
-    /// called from [`Intake::submit`](crate::Intake::submit) or an async task, where it
+    /// called from [`RequestHandler::submit`](crate::RequestHandler::submit) or an async task, where it
     /// panics; see [`Responder::try_chunk`].
     ///
     /// # Errors
--- a/crates/server/tests/admin.rs
+++ b/crates/server/tests/admin.rs
@@ -7,8 +7,8 @@
 
 use jayreel_model::{ClassOfService, KeyHash, RefusalReason};
 use jayreel_server::{
-    AdminAnswer, AdminError, AdminErrorKind, AdminHandler, AdminKey, AdminOperation,
-    AdminRequest, AdminResource, AdminServer, AdminSettings, ExpectedVersion, Metrics,
+    AdminError, AdminErrorKind, AdminHandler, AdminKey, AdminOperation, AdminRequest,
+    AdminResource, AdminResponse, AdminServer, AdminSettings, ExpectedVersion, Metrics,
     ServerSettings,
 };
 use prometheus::Registry;
@@ -20,13 +20,13 @@
 struct Recorder(Mutex<Vec<AdminRequest>>);
 
 impl AdminHandler for Recorder {
-    fn handle(&self, request: AdminRequest) -> Result<AdminAnswer, AdminError> {
+    fn handle(&self, request: AdminRequest) -> Result<AdminResponse, AdminError> {
         let taken = AdminOperation::Put(AdminResource::Profiles, "taken".to_string());
         let refuse = request.operation == taken;
         self.0.lock().expect("no panic").push(request);
         match refuse {
             true => Err(AdminError::new(AdminErrorKind::VersionMismatch, "newer")),
-            false => Ok(AdminAnswer {
+            false => Ok(AdminResponse {
                 status: 200,
                 version: Some(7),
                 body: b"{}".to_vec(),
--- a/crates/server/tests/answers.rs
+++ b/crates/server/tests/answers.rs
@@ -7,7 +7,8 @@
 
 use jayreel_model::RequestId;
 use jayreel_server::{
-    CallerServer, IncomingRequest, Intake, Responder, ResponderClosed, ServerSettings,
+    CallerServer, IncomingRequest, RequestHandler, Responder, ResponderClosed,
+    ServerSettings,
 };
 use support::{Client, Fixture, LIMIT, get, wait_until};
 use test_case::test_case;
@@ -212,7 +213,7 @@
 
 type Outcomes = Receiver<Result<(), ResponderClosed>>;
 
-impl Intake for WritingIntake {
+impl RequestHandler for WritingIntake {
     fn submit(&self, request: IncomingRequest) {
         let mut responder = request.responder;
         if self.head_first {
--- a/crates/server/tests/support/mod.rs
+++ b/crates/server/tests/support/mod.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use jayreel_model::RequestId;
-use jayreel_server::{CallerServer, IncomingRequest, Intake, ServerSettings};
+use jayreel_server::{CallerServer, IncomingRequest, RequestHandler, ServerSettings};
 
 /// Far above any wait in a test that passes.
 pub const LIMIT: Duration = Duration::from_secs(30);
@@ -35,7 +35,7 @@
     }
 }
 
-impl Intake for TestIntake {
+impl RequestHandler for TestIntake {
     fn submit(&self, request: IncomingRequest) {
         let requests = self.requests.lock().expect("no test panics with this lock");
         let _ = requests.send(request);
