--- a/crates/server/src/admin/mod.rs
+++ b/crates/server/src/admin/mod.rs
@@ -1,4 +1,5 @@
-//! The administration API: its listener, its routes and the interface behind it.
+//! The administration API: its HTTP server, its paths and the [`AdminHandler`] that carries
+//! out the requests.
 
 mod route;
 mod server;
@@ -8,41 +9,42 @@
 pub use crate::admin::route::parse;
 pub use crate::admin::server::{AdminServer, AdminSettings};
 
-/// A kind of configuration record.
+/// The kind of a configuration record, which is the path segment after `/admin/v1/`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AdminResource {
-    /// Customers.
+    /// Customers with their rate limits. They cannot be deleted.
     Customers,
-    /// Endpoints.
+    /// Back ends that serve calls: model engines and plain services.
     Endpoints,
-    /// Customer keys, named by their hash.
+    /// Customer keys. The name of a key is its hash.
     Keys,
-    /// Profiles.
+    /// Limits and class of service for the programs that are opened under the profile.
     Profiles,
-    /// Routes.
+    /// Path prefixes that are served by plain services.
     Routes,
 }
 
-/// What an operator asks for.
+/// The operation that method and path of an operator's request select.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum AdminOperation {
-    /// All records of a kind.
+    /// Returns all records of a kind with their versions.
     List(AdminResource),
-    /// One record.
+    /// Returns the record with this name.
     Get(AdminResource, String),
-    /// Creates or changes a record. The body is its JSON value.
+    /// Creates or changes the record with this name. The request body is its JSON value.
     Put(AdminResource, String),
-    /// Deletes, retires or withdraws a record.
+    /// Deletes the record with this name. Profiles are retired and keys are withdrawn
+    /// instead.
     Delete(AdminResource, String),
-    /// Issues a key. The answer holds it, for this one time.
+    /// Issues a customer key. Only this response contains the key itself.
     IssueKey,
-    /// States that the process of an instance is dead.
+    /// Declares the process of the instance with this name dead.
     ForgetInstance(String),
-    /// The state of the instance and of its peers.
+    /// Returns the state of this instance and of its peers.
     Status,
 }
 
-/// The version that a change expects.
+/// Precondition of a change on the current version of the record.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ExpectedVersion {
     /// The record does not exist (`If-None-Match: *`).
@@ -51,61 +53,62 @@
     Is(u64),
 }
 
-/// One request of an operator whose key is valid.
+/// A request of an operator whose key is valid.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AdminRequest {
-    /// Name of the operator's key, for the log.
+    /// Name of the operator's key ([`AdminKey::name`]), for the log.
     pub operator: String,
-    /// What is asked for.
+    /// The operation that method and path select.
     pub operation: AdminOperation,
-    /// The version that a change expects, if the request names one.
+    /// From `If-Match` or `If-None-Match`; `None` without these headers.
     pub expected: Option<ExpectedVersion>,
-    /// The body, which may be empty.
+    /// The complete body. Empty for requests without one.
     pub body: Vec<u8>,
 }
 
-/// The answer to an operator.
+/// The response to a successful request of an operator.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AdminResponse {
-    /// HTTP status of the success, such as 200, 201 or 204.
+    /// HTTP status, such as 200, 201 or 204.
     pub status: u16,
-    /// Version of the record, for `ETag`.
+    /// Version of the record, sent as `ETag`. `None` for responses that are not about one
+    /// record.
     pub version: Option<u64>,
-    /// JSON, empty for 204.
+    /// JSON. Empty for status 204.
     pub body: Vec<u8>,
 }
 
 /// Why an operator's request failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AdminErrorKind {
-    /// The key is missing or unknown.
+    /// The operator's key is missing, malformed or unknown.
     InvalidKey,
-    /// Path, header or body is malformed, or the record is not valid.
+    /// The name, a header or the body is malformed, or the record is not valid.
     Invalid,
-    /// No such path or record.
+    /// The path or the record does not exist.
     NotFound,
     /// The path does not support the method.
     MethodNotAllowed,
-    /// The change contradicts the present records.
+    /// The change conflicts with other records, or the record exists already.
     Conflict,
-    /// The body is larger than the limit.
+    /// The body is larger than [`ServerSettings::max_body_bytes`](crate::ServerSettings).
     BodyTooLarge,
-    /// The body did not arrive in time.
+    /// The caller paused for too long while it sent the body.
     RequestTimeout,
-    /// The record has another version than the request expects.
+    /// The current version of the record is not the expected one.
     VersionMismatch,
-    /// The change needs an expected version and names none.
+    /// The change needs an expected version, and the request has none.
     VersionRequired,
-    /// Too many requests are being handled.
+    /// Too many requests are in progress, or the instance did not respond in time.
     Busy,
     /// The store cannot be reached, and the change was not made.
     StoreUnavailable,
-    /// The store did not tell whether it made the change.
+    /// It is not known whether the change was made.
     OutcomeUnknown,
 }
 
 impl AdminErrorKind {
-    /// The HTTP status code.
+    /// The HTTP status code of the error response.
     pub fn status(self) -> u16 {
         match self {
             AdminErrorKind::Invalid => 400,
@@ -122,7 +125,7 @@
         }
     }
 
-    /// The code in the JSON error, in snake case.
+    /// The value of `error.code` in the JSON body.
     pub fn code(self) -> &'static str {
         match self {
             AdminErrorKind::BodyTooLarge => "body_too_large",
@@ -141,17 +144,17 @@
     }
 }
 
-/// A failed request of an operator.
+/// Why an operator's request failed, as sent in the error response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AdminError {
-    /// The reason, which fixes the HTTP status.
+    /// Determines the HTTP status and the error code.
     pub kind: AdminErrorKind,
-    /// Text for a person. Holds no secrets.
+    /// Human-readable explanation. Must not contain secrets.
     pub message: String,
 }
 
 impl AdminError {
-    /// An error with a message.
+    /// Creates an error. The message is sent to the operator.
     pub fn new(kind: AdminErrorKind, message: impl Into<String>) -> AdminError {
         AdminError {
             kind,
@@ -160,21 +163,22 @@
     }
 }
 
-/// Carries out what operators ask for. May block: it runs on a small pool of threads.
+/// Carries out the requests of operators. It runs on a small pool of threads, so it may
+/// block.
 pub trait AdminHandler: Send + Sync {
-    /// Carries out one request.
+    /// Carries out one request, whose key has been checked.
     ///
     /// # Errors
     ///
-    /// An [`AdminError`], which the operator receives.
+    /// An [`AdminError`], which is sent to the operator.
     fn handle(&self, request: AdminRequest) -> Result<AdminResponse, AdminError>;
 }
 
-/// A key of an operator, known only by its hash.
+/// An operator's key. Only its hash is kept.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AdminKey {
-    /// Name for the log.
+    /// Identifies the operator in the log.
     pub name: String,
-    /// Hash of the key.
+    /// Compared with the hash of the key that a request carries.
     pub hash: KeyHash,
 }
--- a/crates/server/src/admin/route.rs
+++ b/crates/server/src/admin/route.rs
@@ -1,18 +1,19 @@
-//! Paths and conditions of the administration API.
+//! Parses the paths and the conditional headers of the administration API.
 
 use crate::admin::{
     AdminError, AdminErrorKind, AdminOperation, AdminResource, ExpectedVersion,
 };
 
-/// Most bytes of the name of a record. The hash of a key has 64.
+/// Maximum length of a record's name. The hash of a key, in hex, has 64 bytes.
 const MAX_NAME_BYTES: usize = 128;
 
-/// Finds the operation by method and path.
+/// Maps method and path to an operation.
 ///
 /// # Errors
 ///
-/// [`AdminErrorKind::NotFound`], [`AdminErrorKind::MethodNotAllowed`] or, for a bad name,
-/// [`AdminErrorKind::Invalid`].
+/// [`AdminErrorKind::NotFound`] for an unknown path, [`AdminErrorKind::MethodNotAllowed`]
+/// for a method that the path does not support, and [`AdminErrorKind::Invalid`] for a
+/// malformed record name.
 pub fn parse(method: &str, path: &str) -> Result<AdminOperation, AdminError> {
     let not_found = || AdminError::new(AdminErrorKind::NotFound, "no such path");
     let rest = path.strip_prefix("/admin/v1/").ok_or_else(not_found)?;
@@ -21,23 +22,23 @@
         ("GET", ["status"]) => Ok(AdminOperation::Status),
         ("POST", ["keys"]) => Ok(AdminOperation::IssueKey),
         ("POST", ["instances", name, "forget"]) => {
-            Ok(AdminOperation::ForgetInstance(checked_name(name)?))
+            Ok(AdminOperation::ForgetInstance(validate_name(name)?))
         }
-        (_, ["status"] | ["instances", _, "forget"]) => Err(wrong_method()),
+        (_, ["status"] | ["instances", _, "forget"]) => Err(method_not_allowed()),
         (method, [kind]) => match (method, resource(kind)) {
             ("GET", Some(resource)) => Ok(AdminOperation::List(resource)),
-            (_, Some(_)) => Err(wrong_method()),
+            (_, Some(_)) => Err(method_not_allowed()),
             (_, None) => Err(not_found()),
         },
         (method, [kind, name]) => {
             let resource = resource(kind).ok_or_else(not_found)?;
-            record(method, resource, checked_name(name)?)
+            record_operation(method, resource, validate_name(name)?)
         }
         _ => Err(not_found()),
     }
 }
 
-fn record(
+fn record_operation(
     method: &str,
     resource: AdminResource,
     name: String,
@@ -46,7 +47,7 @@
         "GET" => Ok(AdminOperation::Get(resource, name)),
         "PUT" => Ok(AdminOperation::Put(resource, name)),
         "DELETE" => Ok(AdminOperation::Delete(resource, name)),
-        _ => Err(wrong_method()),
+        _ => Err(method_not_allowed()),
     }
 }
 
@@ -61,8 +62,9 @@
     }
 }
 
-/// Names become parts of store keys, metrics and log lines.
-fn checked_name(name: &str) -> Result<String, AdminError> {
+/// Restricts the characters of a name, because it becomes part of store keys, metric labels
+/// and log lines.
+fn validate_name(name: &str) -> Result<String, AdminError> {
     let in_alphabet =
         |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
     let well_formed = (1..=MAX_NAME_BYTES).contains(&name.len())
@@ -77,7 +79,8 @@
     }
 }
 
-/// Reads `If-Match` and `If-None-Match`.
+/// Reads the expected version from the values of `If-Match` and `If-None-Match`. Returns
+/// `None` if neither header is present.
 pub(crate) fn expected(
     if_match: Option<&str>,
     if_none_match: Option<&str>,
@@ -87,11 +90,12 @@
         (None, Some("*")) => Ok(Some(ExpectedVersion::Absent)),
         (Some(tag), None) => version(tag)
             .map(|version| Some(ExpectedVersion::Is(version)))
-            .ok_or_else(|| bad_condition("if-match is not one version in quotes")),
-        _ => Err(bad_condition("expected if-match or if-none-match: *")),
+            .ok_or_else(|| invalid_condition("if-match is not one version in quotes")),
+        _ => Err(invalid_condition("expected if-match or if-none-match: *")),
     }
 }
 
+/// Parses a version in quotes. Only digits are accepted, because `parse` also takes a sign.
 fn version(tag: &str) -> Option<u64> {
     let digits = tag.strip_prefix('"')?.strip_suffix('"')?;
     match digits.bytes().all(|byte| byte.is_ascii_digit()) {
@@ -100,11 +104,11 @@
     }
 }
 
-fn bad_condition(message: &str) -> AdminError {
+fn invalid_condition(message: &str) -> AdminError {
     AdminError::new(AdminErrorKind::Invalid, message)
 }
 
-fn wrong_method() -> AdminError {
+fn method_not_allowed() -> AdminError {
     let message = "the path does not support the method";
     AdminError::new(AdminErrorKind::MethodNotAllowed, message)
 }
--- a/crates/server/src/admin/server.rs
+++ b/crates/server/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! The listener for operators.
+//! The HTTP server for operators, which also serves the metrics.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,40 +20,42 @@
     AdminError, AdminErrorKind, AdminHandler, AdminKey, AdminRequest, AdminResponse,
     route,
 };
-use crate::answer::{AnswerBody, Incomplete};
 use crate::body_budget::BodyBudget;
 use crate::connection::HttpService;
 use crate::listener::{Listener, Stage};
+use crate::response::{IncompleteResponse, ResponseBody};
 use crate::settings::ServerSettings;
 use crate::{headers, read_body};
 
-/// Requests that run or wait for a thread of the pool.
+/// Maximum number of requests that run in the handler or wait for a thread of the pool.
+/// Further requests are refused as [`AdminErrorKind::Busy`].
 const MAX_PENDING_REQUESTS: usize = 32;
 /// Content type of the Prometheus text format.
-const METRICS_TYPE: &str = "text/plain; version=0.0.4";
+const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
-/// Settings of the administration API.
+/// Settings of the administration server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AdminSettings {
-    /// Keys of operators.
+    /// The keys that operators may use. All have the same rights.
     pub keys: Vec<AdminKey>,
-    /// Whether `/metrics` needs no key.
+    /// Whether `GET /metrics` is allowed without a key.
     pub open_metrics: bool,
-    /// Limits of the listener.
+    /// Limits on connections and requests.
     pub limits: ServerSettings,
 }
 
-/// Serves operators on one address, on a thread of its own.
+/// Serves operators on one address. Connections run on a dedicated thread.
 pub struct AdminServer {
     listener: Listener,
 }
 
 impl AdminServer {
-    /// Binds `address` and serves until [`AdminServer::close`].
+    /// Binds `address` and serves until [`AdminServer::close`]. `GET /metrics` returns the
+    /// metrics of `registry`.
     ///
     /// # Errors
     ///
-    /// The error of binding the address or of starting the thread.
+    /// If the address cannot be bound or the thread cannot be started.
     pub fn start(
         address: SocketAddr,
         settings: AdminSettings,
@@ -66,20 +68,21 @@
             settings,
             registry,
             handler,
-            slots: Arc::new(Semaphore::new(MAX_PENDING_REQUESTS)),
+            permits: Arc::new(Semaphore::new(MAX_PENDING_REQUESTS)),
         });
-        let ignore = Box::new(|| {});
-        let listener = Listener::start("admin-http", address, limits, service, ignore)?;
+        let on_accept_error = Box::new(|| {});
+        let listener =
+            Listener::start("admin-http", address, limits, service, on_accept_error)?;
         Ok(AdminServer { listener })
     }
 
-    /// The address of the listener, with the port that the system chose.
+    /// The bound address, with the actual port if port 0 was requested.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Closes the listening socket and lets requests under way end, for up to `limit`.
-    /// Returns the number of connections that were cut.
+    /// Closes the listening socket and waits up to `limit` for open connections to end.
+    /// Returns the number of connections that were still open and were closed.
     pub fn close(self, limit: Option<Duration>) -> usize {
         self.listener.start_drain();
         self.listener.stop_accepting();
@@ -93,21 +96,21 @@
     settings: AdminSettings,
     registry: Registry,
     handler: Arc<dyn AdminHandler>,
-    slots: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
 }
 
 impl HttpService for AdminService {
-    fn answer(
+    fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
         _stage: Stage,
-    ) -> BoxFuture<'static, Result<Response<AnswerBody>, Incomplete>> {
+    ) -> BoxFuture<'static, Result<Response<ResponseBody>, IncompleteResponse>> {
         async move {
             let (head, body) = request.into_parts();
             let had_body = !body.is_end_stream();
             let response = match self.respond(&head, body).await {
                 Ok(response) => response,
-                Err(error) => refused(&error, had_body),
+                Err(error) => error_response(&error, had_body),
             };
             Ok(response)
         }
@@ -120,7 +123,7 @@
         &self,
         head: &request::Parts,
         body: Incoming,
-    ) -> Result<Response<AnswerBody>, AdminError> {
+    ) -> Result<Response<ResponseBody>, AdminError> {
         let path = head.uri.path();
         let is_metrics = path == "/metrics" && head.method == "GET";
         if is_metrics && self.settings.open_metrics {
@@ -140,12 +143,12 @@
             )?,
             body: read_body::read(body, &self.settings.limits, &mut reservation)
                 .await
-                .map_err(bad_body)?,
+                .map_err(body_error)?,
         };
-        self.run(request).await.and_then(answered)
+        self.run(request).await.and_then(success_response)
     }
 
-    /// The name of the operator whose key the request carries.
+    /// Authenticates the request and returns the name of the operator's key.
     fn operator(&self, head: &request::Parts) -> Result<String, AdminError> {
         let invalid =
             || AdminError::new(AdminErrorKind::InvalidKey, "the key is not valid");
@@ -156,17 +159,19 @@
             .ok_or_else(invalid)
     }
 
-    /// Runs the handler on a thread of the pool.
+    /// Runs the handler on a blocking thread, because it accesses the store.
     async fn run(&self, request: AdminRequest) -> Result<AdminResponse, AdminError> {
         let busy = |_| {
             let message = "too many administration requests are being handled";
             AdminError::new(AdminErrorKind::Busy, message)
         };
-        let slot = Arc::clone(&self.slots).try_acquire_owned().map_err(busy)?;
+        let permit = Arc::clone(&self.permits)
+            .try_acquire_owned()
+            .map_err(busy)?;
         let handler = Arc::clone(&self.handler);
         let run = tokio::task::spawn_blocking(move || {
             let outcome = handler.handle(request);
-            drop(slot);
+            drop(permit);
             outcome
         });
         run.await.unwrap_or_else(|error| {
@@ -176,18 +181,18 @@
         })
     }
 
-    fn metrics(&self) -> Result<Response<AnswerBody>, AdminError> {
+    fn metrics(&self) -> Result<Response<ResponseBody>, AdminError> {
         let text = TextEncoder::new()
             .encode_to_string(&self.registry.gather())
             .map_err(|error| {
                 let message = format!("metrics: {error}");
                 AdminError::new(AdminErrorKind::Busy, message)
             })?;
-        Ok(response(200, METRICS_TYPE, text.into_bytes()))
+        Ok(http_response(200, METRICS_CONTENT_TYPE, text.into_bytes()))
     }
 }
 
-/// Compares with every key in constant time, so that the time of an answer tells nothing
+/// Compares the hash with every key in constant time, so that response times reveal nothing
 /// about the stored hashes.
 fn find_key(keys: &[AdminKey], hash: KeyHash) -> Option<&AdminKey> {
     let mut found = u64::MAX;
@@ -204,7 +209,8 @@
         .map(|value| value.to_str().unwrap_or_default())
 }
 
-fn bad_body(refusal: Refusal) -> AdminError {
+/// Converts a refusal from reading the body, which is shared with the server for callers.
+fn body_error(refusal: Refusal) -> AdminError {
     let kind = match refusal.reason {
         RefusalReason::BodyTooLarge => AdminErrorKind::BodyTooLarge,
         RefusalReason::Overloaded => AdminErrorKind::Busy,
@@ -214,9 +220,9 @@
     AdminError::new(kind, refusal.message)
 }
 
-fn answered(answer: AdminResponse) -> Result<Response<AnswerBody>, AdminError> {
-    let mut response = response(answer.status, "application/json", answer.body);
-    if let Some(version) = answer.version
+fn success_response(admin: AdminResponse) -> Result<Response<ResponseBody>, AdminError> {
+    let mut response = http_response(admin.status, "application/json", admin.body);
+    if let Some(version) = admin.version
         && let Ok(tag) = HeaderValue::from_str(&format!("\"{version}\""))
     {
         response.headers_mut().insert("etag", tag);
@@ -235,7 +241,7 @@
     message: &'a str,
 }
 
-fn refused(error: &AdminError, had_body: bool) -> Response<AnswerBody> {
+fn error_response(error: &AdminError, had_body: bool) -> Response<ResponseBody> {
     let form = ErrorForm {
         error: ErrorFields {
             code: error.kind.code(),
@@ -243,21 +249,25 @@
         },
     };
     let body = serde_json::to_vec(&form).unwrap_or_default();
-    let mut response = response(error.kind.status(), "application/json", body);
+    let mut response = http_response(error.kind.status(), "application/json", body);
     if error.kind == AdminErrorKind::InvalidKey {
         let scheme = HeaderValue::from_static("Bearer");
         response.headers_mut().insert("www-authenticate", scheme);
     }
     if had_body {
-        // The body may not have been read to its end.
+        // The body may not have been read to its end, so the connection cannot be reused.
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
     response
 }
 
-fn response(status: u16, kind: &'static str, body: Vec<u8>) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(body));
+fn http_response(
+    status: u16,
+    kind: &'static str,
+    body: Vec<u8>,
+) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::whole(body));
     *response.status_mut() =
         StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let kind = HeaderValue::from_static(kind);
--- a/crates/server/src/body_budget.rs
+++ b/crates/server/src/body_budget.rs
@@ -1,9 +1,9 @@
-//! The memory that request bodies may take together.
+//! A limit on the total memory of request bodies.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Bytes of all bodies that are being read or whose calls are not answered yet.
+/// Counts the bytes of all bodies that are being read or whose response is not complete.
 #[derive(Debug)]
 pub(crate) struct BodyBudget {
     used_bytes: AtomicU64,
@@ -18,7 +18,7 @@
         })
     }
 
-    /// A reservation of nothing yet, for one body.
+    /// Creates an empty reservation for one body. It grows as the body is read.
     pub(crate) fn reserve(self: &Arc<Self>) -> Reservation {
         Reservation {
             budget: Arc::clone(self),
@@ -27,7 +27,7 @@
     }
 }
 
-/// The share of one body. Returned on drop.
+/// The bytes that are reserved for one body. Dropping it returns them to the budget.
 #[derive(Debug)]
 pub(crate) struct Reservation {
     budget: Arc<BodyBudget>,
@@ -35,7 +35,7 @@
 }
 
 impl Reservation {
-    /// Takes more bytes. Returns false if they exceed the budget.
+    /// Reserves `bytes` more. Returns false, and reserves nothing, if they exceed the budget.
     pub(crate) fn grow(&mut self, bytes: u64) -> bool {
         let limit = self.budget.limit_bytes;
         let taken = self.budget.used_bytes.fetch_update(
--- a/crates/server/src/handle.rs
+++ b/crates/server/src/caller_service.rs
@@ -1,4 +1,5 @@
-//! From an HTTP request to the intake and back.
+//! Validates the requests of callers, passes them to the [`RequestHandler`] and returns the
+//! responses.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,23 +11,23 @@
 use hyper::{Method, Request, Response, StatusCode};
 use jayreel_model::{Refusal, RefusalReason, RequestId};
 
-use crate::answer::{self, AnswerBody, Incomplete};
-use crate::answer_channel;
 use crate::body_budget::{BodyBudget, Reservation};
 use crate::connection::HttpService;
 use crate::listener::Stage;
 use crate::request_handler::{IncomingRequest, Operation, RequestHandler};
 use crate::responder::Responder;
+use crate::response::{self, IncompleteResponse, ResponseBody};
+use crate::response_channel;
 use crate::settings::ServerSettings;
 use crate::{chat, headers, operation, path, read_body};
 
-/// Bodies above this size are parsed on a blocking thread, so that one large history does
-/// not delay the other connections.
+/// Chat bodies above this size are parsed on a blocking thread, so that one large message
+/// history does not delay the other connections.
 const INLINE_PARSE_BYTES: usize = 64 * 1024;
 
-/// Answers the requests of callers.
+/// Handles the requests of callers and the health probes.
 pub(crate) struct CallerService {
-    intake: Arc<dyn RequestHandler>,
+    handler: Arc<dyn RequestHandler>,
     settings: ServerSettings,
     budget: Arc<BodyBudget>,
     next_id: AtomicU64,
@@ -34,35 +35,36 @@
 
 impl CallerService {
     pub(crate) fn new(
-        intake: Arc<dyn RequestHandler>,
+        handler: Arc<dyn RequestHandler>,
         settings: ServerSettings,
     ) -> CallerService {
         CallerService {
-            intake,
+            handler,
             budget: BodyBudget::new(settings.max_held_body_bytes),
             settings,
             next_id: AtomicU64::new(1),
         }
     }
 
-    async fn call(
+    async fn handle_call(
         &self,
         request: Request<Incoming>,
-    ) -> Result<Response<AnswerBody>, Incomplete> {
+    ) -> Result<Response<ResponseBody>, IncompleteResponse> {
         let id = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
         let (head, body) = request.into_parts();
-        let to_head = head.method == Method::HEAD;
+        let is_head_request = head.method == Method::HEAD;
         let had_body = !body.is_end_stream();
-        match self.read(head, body).await {
-            Ok(request) => self.submit(id, request, to_head).await,
+        match self.read_request(head, body).await {
+            Ok(request) => self.submit(id, request, is_head_request).await,
             Err(refusal) => {
                 log::debug!(
                     "event=request_refused request={id} reason={}",
                     refusal.reason.code()
                 );
-                let mut response = answer::refused(&refusal, id);
+                let mut response = response::from_refusal(&refusal, id);
                 if had_body {
-                    // The rest of the body is not read.
+                    // The body may not have been read to its end, so the connection cannot
+                    // be reused.
                     let close = HeaderValue::from_static("close");
                     response.headers_mut().insert(CONNECTION, close);
                 }
@@ -74,12 +76,12 @@
     async fn submit(
         &self,
         id: RequestId,
-        request: CheckedRequest,
-        to_head: bool,
-    ) -> Result<Response<AnswerBody>, Incomplete> {
-        let intake = Arc::clone(&self.intake);
-        let (sink, pending) = answer_channel::channel(id, intake, request.reservation);
-        self.intake.submit(IncomingRequest {
+        request: ValidatedRequest,
+        is_head_request: bool,
+    ) -> Result<Response<ResponseBody>, IncompleteResponse> {
+        let handler = Arc::clone(&self.handler);
+        let (sink, pending) = response_channel::channel(id, handler, request.reservation);
+        self.handler.submit(IncomingRequest {
             id,
             method: request.method,
             path: request.path,
@@ -89,26 +91,26 @@
             body: request.body,
             responder: Responder::new(Box::new(sink)),
         });
-        pending.response(to_head).await
+        pending.receive(is_head_request).await
     }
 
-    async fn read(
+    async fn read_request(
         &self,
         head: request::Parts,
         body: Incoming,
-    ) -> Result<CheckedRequest, Refusal> {
+    ) -> Result<ValidatedRequest, Refusal> {
         let call_headers = headers::call_headers(&head.headers)?;
         let key = call_headers.key.as_deref();
-        let target = path::checked(&head.method, &head.uri, key)?.to_string();
+        let target = path::validate(&head.method, &head.uri, key)?.to_string();
         let mut passed_headers = headers::passed_headers(&head.headers, key)?;
         let mut reservation = self.budget.reserve();
         let body = read_body::read(body, &self.settings, &mut reservation).await?;
-        let (operation, body) = parse(&head, body).await?;
+        let (operation, body) = parse_operation(&head, body).await?;
         if let Operation::ChatCompletion(_) = operation {
-            // Usage is read out of the answer, which must therefore not be compressed.
+            // The token usage is read from the response, so it must not be compressed.
             passed_headers.retain(|(name, _)| name != "accept-encoding");
         }
-        Ok(CheckedRequest {
+        Ok(ValidatedRequest {
             method: head.method.to_string(),
             path: target,
             operation,
@@ -119,43 +121,44 @@
         })
     }
 
-    fn probe(&self, path: &str, stage: Stage) -> Option<Response<AnswerBody>> {
-        let ready = stage == Stage::Serving && self.intake.ready();
+    /// Returns the response if the path is that of a health probe.
+    fn health_probe(&self, path: &str, stage: Stage) -> Option<Response<ResponseBody>> {
+        let ready = stage == Stage::Serving && self.handler.ready();
         let (status, text) = match path {
             "/healthz" => (StatusCode::OK, "ok\n"),
             "/readyz" if ready => (StatusCode::OK, "ready\n"),
             "/readyz" => (StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             _ => return None,
         };
-        let mut response = Response::new(AnswerBody::whole(text));
+        let mut response = Response::new(ResponseBody::whole(text));
         *response.status_mut() = status;
         Some(response)
     }
 }
 
 impl HttpService for CallerService {
-    fn answer(
+    fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
         stage: Stage,
-    ) -> BoxFuture<'static, Result<Response<AnswerBody>, Incomplete>> {
+    ) -> BoxFuture<'static, Result<Response<ResponseBody>, IncompleteResponse>> {
         async move {
             let is_probe = matches!(*request.method(), Method::GET | Method::HEAD);
             let probed = match is_probe {
-                true => self.probe(request.uri().path(), stage),
+                true => self.health_probe(request.uri().path(), stage),
                 false => None,
             };
             match probed {
                 Some(response) => Ok(response),
-                None => self.call(request).await,
+                None => self.handle_call(request).await,
             }
         }
         .boxed()
     }
 }
 
-/// A request whose form is checked.
-struct CheckedRequest {
+/// A complete request whose headers, path and body are well-formed.
+struct ValidatedRequest {
     method: String,
     path: String,
     operation: Operation,
@@ -165,7 +168,7 @@
     reservation: Reservation,
 }
 
-async fn parse(
+async fn parse_operation(
     head: &request::Parts,
     body: Vec<u8>,
 ) -> Result<(Operation, Vec<u8>), Refusal> {
--- a/crates/server/src/chat.rs
+++ b/crates/server/src/chat.rs
@@ -1,7 +1,7 @@
-//! The body of a chat completion request.
+//! Parses the body of a chat completion request.
 //!
-//! Only what scheduling needs is read. The body itself goes on unchanged, so fields that
-//! are unknown here reach the engine.
+//! Only the fields that scheduling needs are read. The body is forwarded unchanged, so
+//! fields that are unknown here still reach the engine.
 
 use jayreel_model::{Refusal, RefusalReason};
 use serde::Deserialize;
@@ -11,9 +11,9 @@
 use crate::history;
 use crate::request_handler::ChatParams;
 
-/// Most bytes of a model name.
+/// Maximum length of a model name.
 const MAX_MODEL_BYTES: usize = 256;
-/// Most messages in a request.
+/// Maximum number of messages in a request.
 const MAX_MESSAGES: usize = 10_000;
 
 #[derive(Deserialize)]
@@ -37,23 +37,24 @@
     response_format: Option<&'a RawValue>,
 }
 
-/// Most tokens that the chat template of an engine adds for a message, and once more for
-/// the start of the answer. Without them a prompt of short messages could use more than
-/// its bound, and the program more than its budget.
-const TEMPLATE_TOKENS: u64 = 16;
+/// Upper bound of the tokens that an engine's chat template adds for each message, and once
+/// more for the start of the response. Without them a prompt of short messages could use
+/// more tokens than its bound, and the program more than its budget.
+const MAX_TEMPLATE_TOKENS: u64 = 16;
 
-/// Reads what scheduling needs from the body.
+/// Parses the parameters that scheduling needs.
 ///
 /// # Errors
 ///
-/// [`RefusalReason::InvalidRequest`] with the field at fault.
+/// [`RefusalReason::InvalidRequest`] if the body is not a valid chat request. The message
+/// names the field at fault.
 pub fn parse(body: &[u8]) -> Result<ChatParams, Refusal> {
     let text =
         std::str::from_utf8(body).map_err(|_| invalid("the body is not valid UTF-8"))?;
     let body: ChatBody<'_> = serde_json::from_str(text)
         .map_err(|error| invalid(format!("the body is not a chat request: {error}")))?;
-    check(&body)?;
-    let mut bound = TEMPLATE_TOKENS;
+    validate(&body)?;
+    let mut bound = MAX_TEMPLATE_TOKENS;
     let mut prefix = history::EMPTY;
     let mut prefix_hashes = Vec::with_capacity(body.messages.len());
     for raw in &body.messages {
@@ -62,12 +63,12 @@
         if !message.is_object() {
             return Err(invalid("field messages: a message is not an object"));
         }
-        bound += text_bytes(&message) + TEMPLATE_TOKENS;
+        bound += text_bytes(&message) + MAX_TEMPLATE_TOKENS;
         prefix = history::extend(prefix, &message);
         prefix_hashes.push(prefix);
     }
-    let declared = [body.tools, body.functions, body.response_format];
-    bound += declared
+    let schemas = [body.tools, body.functions, body.response_format];
+    bound += schemas
         .iter()
         .flatten()
         .map(|raw| raw.get().len() as u64)
@@ -81,7 +82,7 @@
     })
 }
 
-fn check(body: &ChatBody<'_>) -> Result<(), Refusal> {
+fn validate(body: &ChatBody<'_>) -> Result<(), Refusal> {
     let max_tokens = body.max_completion_tokens.or(body.max_tokens);
     if body.model.is_empty() || body.model.len() > MAX_MODEL_BYTES {
         return Err(invalid("field model is empty or too long"));
@@ -92,14 +93,15 @@
     if max_tokens == Some(0) {
         return Err(invalid("field max_tokens is zero"));
     }
-    // Several choices would generate a multiple of max_tokens, beyond the reservation.
+    // n choices generate up to n * max_tokens, but only max_tokens are reserved.
     match body.n {
         None | Some(1) => Ok(()),
         Some(_) => Err(invalid("field n is not 1")),
     }
 }
 
-/// Bytes of all texts in a message. A token is at least one byte of them.
+/// Total bytes of all strings in a message. A token covers at least one byte, so this is an
+/// upper bound of its tokens.
 fn text_bytes(value: &Value) -> u64 {
     match value {
         Value::String(text) => text.len() as u64,
--- a/crates/server/src/error_form.rs
+++ b/crates/server/src/error_body.rs
@@ -1,10 +1,10 @@
-//! The JSON form of errors.
+//! The JSON body and the headers of error responses to callers.
 
 use jayreel_model::{Ran, Refusal, RequestId};
 use serde::Serialize;
 
 #[derive(Serialize)]
-struct ErrorForm<'a> {
+struct ErrorBody<'a> {
     error: ErrorFields<'a>,
 }
 
@@ -17,25 +17,26 @@
     ran: Ran,
 }
 
-/// The body that tells a caller of a refusal.
+/// Encodes a refusal. `id` is `None` if the request had no parsed head.
 pub(crate) fn body(refusal: &Refusal, id: Option<RequestId>) -> Vec<u8> {
-    let form = ErrorForm {
+    let body = ErrorBody {
         error: ErrorFields {
-            r#type: kind(refusal.reason.status()),
+            r#type: error_type(refusal.reason.status()),
             code: refusal.reason.code(),
             message: &refusal.message,
             request_id: id.map(|id| id.to_string()),
             ran: refusal.ran,
         },
     };
-    serde_json::to_vec(&form).unwrap_or_default()
+    serde_json::to_vec(&body).unwrap_or_default()
 }
 
 /// The headers that go with [`body`].
 pub(crate) fn headers(refusal: &Refusal) -> Vec<(String, String)> {
     let mut headers = vec![("content-type".into(), "application/json".into())];
     if let Some(wait_ms) = refusal.retry_after_ms {
-        // The header has whole seconds, and a retry must not come too early.
+        // The header has a resolution of seconds. Rounding up keeps a retry from coming too
+        // early.
         let wait_s = wait_ms.div_ceil(1_000);
         headers.push(("retry-after".into(), wait_s.to_string()));
     }
@@ -45,7 +46,7 @@
     headers
 }
 
-fn kind(status: u16) -> &'static str {
+fn error_type(status: u16) -> &'static str {
     match status {
         401 => "authentication_error",
         403 => "permission_error",
--- a/crates/server/src/headers.rs
+++ b/crates/server/src/headers.rs
@@ -1,4 +1,5 @@
-//! Headers of requests: those with a meaning to jayreel and those that are passed on.
+//! Parses the request headers that jayreel interprets, and selects those that are forwarded
+//! to the endpoint.
 
 use hyper::HeaderMap;
 use hyper::header::HeaderValue;
@@ -7,41 +8,42 @@
 
 use crate::request_handler::CallHeaders;
 
-/// Most bytes of a customer key.
+/// Maximum length of a customer key in bytes.
 const MAX_KEY_BYTES: usize = 512;
-/// Most bytes of a name of a profile or an incarnation, or of a history hash.
+/// Maximum length in bytes of a profile name, an incarnation, a history hash or a turn
+/// number.
 const MAX_NAME_BYTES: usize = 256;
-/// Most bytes of an idempotency key.
+/// Maximum length of an idempotency key in bytes, without quotes.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
-/// Most bytes of a program token.
+/// Maximum length of a program token in bytes.
 pub(crate) const MAX_TOKEN_BYTES: usize = 2_048;
 
-/// Reads the headers that have a meaning to jayreel. Messages of refusals name the header
-/// and never repeat its value, which may be a secret.
+/// Parses the headers that jayreel interprets. Error messages name the header but never
+/// repeat its value, which may be a secret.
 pub(crate) fn call_headers(headers: &HeaderMap) -> Result<CallHeaders, Refusal> {
     Ok(CallHeaders {
         key: key(headers)?,
-        profile: text(headers, "jayreel-profile", MAX_NAME_BYTES)?,
-        program: text(headers, "jayreel-program", MAX_TOKEN_BYTES)?,
-        parent: text(headers, "jayreel-parent", MAX_TOKEN_BYTES)?,
+        profile: ascii_value(headers, "jayreel-profile", MAX_NAME_BYTES)?,
+        program: ascii_value(headers, "jayreel-program", MAX_TOKEN_BYTES)?,
+        parent: ascii_value(headers, "jayreel-parent", MAX_TOKEN_BYTES)?,
         turn: turn(headers)?,
-        epoch: text(headers, "jayreel-epoch", MAX_NAME_BYTES)?,
-        history: text(headers, "jayreel-history", MAX_NAME_BYTES)?,
+        epoch: ascii_value(headers, "jayreel-epoch", MAX_NAME_BYTES)?,
+        history: ascii_value(headers, "jayreel-history", MAX_NAME_BYTES)?,
         idempotency_key: idempotency_key(headers)?,
     })
 }
 
-/// The headers that go on to the endpoint. Leaves out headers of the connection,
-/// credentials, headers with a meaning to jayreel and any header that holds the key.
+/// Returns the headers that are forwarded to the endpoint. Omits hop-by-hop headers,
+/// credentials, headers that jayreel interprets and any header whose value contains the key.
 pub(crate) fn passed_headers(
     headers: &HeaderMap,
     key: Option<&str>,
 ) -> Result<Vec<(String, String)>, Refusal> {
-    let named = connection_options(headers);
+    let connection_headers = connection_options(headers);
     let mut passed = Vec::with_capacity(headers.len());
     for (name, value) in headers {
         let name = name.as_str();
-        if is_kept_back(name) || named.iter().any(|option| option == name) {
+        if is_withheld(name) || connection_headers.iter().any(|option| option == name) {
             continue;
         }
         let value = std::str::from_utf8(value.as_bytes())
@@ -54,15 +56,17 @@
     Ok(passed)
 }
 
-fn is_kept_back(name: &str) -> bool {
-    let has_meaning = name.starts_with("jayreel-") || name == "expect" || name == "host";
+/// Whether a header is never forwarded to the endpoint.
+fn is_withheld(name: &str) -> bool {
+    let is_interpreted =
+        name.starts_with("jayreel-") || name == "expect" || name == "host";
     let is_credential = matches!(name, "authorization" | "cookie" | "api-key")
         || name == "x-api-key"
         || name == "x-auth-token";
-    is_hop_by_hop(name) || has_meaning || is_credential || name == "content-length"
+    is_hop_by_hop(name) || is_interpreted || is_credential || name == "content-length"
 }
 
-/// Names of headers that the sender declares to concern this connection only.
+/// The header names listed in `Connection`, which apply to this connection only.
 fn connection_options(headers: &HeaderMap) -> Vec<String> {
     headers
         .get_all("connection")
@@ -73,9 +77,9 @@
         .collect()
 }
 
-/// The key from `Authorization: Bearer KEY`.
+/// Parses `Authorization: Bearer KEY`. Returns `None` if the header is absent.
 pub(crate) fn key(headers: &HeaderMap) -> Result<Option<String>, Refusal> {
-    let Some(value) = single(headers, "authorization")? else {
+    let Some(value) = single_value(headers, "authorization")? else {
         return Ok(None);
     };
     let malformed = || {
@@ -94,21 +98,23 @@
     }
 }
 
+/// Parses `Jayreel-Turn`. Only digits are accepted, because `parse` also takes a sign.
 fn turn(headers: &HeaderMap) -> Result<Option<u32>, Refusal> {
-    let Some(turn) = text(headers, "jayreel-turn", MAX_NAME_BYTES)? else {
+    let Some(turn) = ascii_value(headers, "jayreel-turn", MAX_NAME_BYTES)? else {
         return Ok(None);
     };
-    let digits = turn.bytes().all(|byte| byte.is_ascii_digit());
+    let only_digits = turn.bytes().all(|byte| byte.is_ascii_digit());
     match turn.parse() {
-        Ok(turn) if digits => Ok(Some(turn)),
+        Ok(turn) if only_digits => Ok(Some(turn)),
         _ => Err(invalid("header jayreel-turn is not a turn number")),
     }
 }
 
-/// The draft standard quotes the key as a structured string; many callers do not.
+/// Parses `Idempotency-Key`, with or without quotes: the draft standard defines the value as
+/// a quoted structured-field string, but many callers send it without quotes.
 fn idempotency_key(headers: &HeaderMap) -> Result<Option<String>, Refusal> {
     let name = "idempotency-key";
-    let Some(value) = text(headers, name, MAX_IDEMPOTENCY_KEY_BYTES + 2)? else {
+    let Some(value) = ascii_value(headers, name, MAX_IDEMPOTENCY_KEY_BYTES + 2)? else {
         return Ok(None);
     };
     let inner = match value.strip_prefix('"') {
@@ -123,13 +129,14 @@
     }
 }
 
-/// A header of visible ASCII characters that may occur once.
-fn text(
+/// Returns the value of a header that may occur at most once and has only visible ASCII
+/// characters.
+fn ascii_value(
     headers: &HeaderMap,
     name: &str,
     max_bytes: usize,
 ) -> Result<Option<String>, Refusal> {
-    let Some(value) = single(headers, name)? else {
+    let Some(value) = single_value(headers, name)? else {
         return Ok(None);
     };
     let bytes = value.as_bytes();
@@ -146,7 +153,8 @@
     }
 }
 
-fn single<'a>(
+/// Returns the value of a header and refuses the request if the header is repeated.
+fn single_value<'a>(
     headers: &'a HeaderMap,
     name: &str,
 ) -> Result<Option<&'a HeaderValue>, Refusal> {
--- a/crates/server/src/history.rs
+++ b/crates/server/src/history.rs
@@ -1,24 +1,24 @@
-//! Hashes of the growing history of a program.
+//! Hashes of the message history of a program, one for each prefix.
 //!
-//! A message that an engine generated comes back from the caller in another spelling:
-//! other order of fields, other white space, null fields left out or added. The hash
-//! therefore covers the parsed values of the fields that reach the model.
+//! Callers send the messages that an engine generated back in a different encoding: with
+//! fields in another order, other white space, and null fields added or removed. The hash
+//! therefore covers the parsed values of the fields that reach the model, not the bytes.
 
 use serde_json::Value;
 
-/// The hash of a history without messages.
+/// The hash of an empty history.
 pub const EMPTY: u64 = 0;
 
-/// Fields of a message that are part of the history.
+/// The fields of a message that are hashed, in this order.
 const FIELDS: [&str; 5] = ["role", "content", "name", "tool_calls", "tool_call_id"];
 
-/// The hash of a history with one more message.
+/// Returns the hash of the history with hash `prefix` followed by `message`.
 pub fn extend(prefix: u64, message: &Value) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&prefix.to_le_bytes());
     for field in FIELDS {
         let canonical = canonical(message.get(field));
-        // The length keeps the end of one field apart from the start of the next.
+        // Without the length, bytes could move between adjacent fields unnoticed.
         hasher.update(&(canonical.len() as u64).to_le_bytes());
         hasher.update(canonical.as_bytes());
     }
@@ -28,8 +28,8 @@
     u64::from_le_bytes(first)
 }
 
-/// One spelling for each value. Objects are sorted by key, and an absent field equals
-/// null and an empty list.
+/// Encodes equal values as equal strings. Objects are sorted by key, and an absent field is
+/// the same as null and an empty list.
 fn canonical(value: Option<&Value>) -> String {
     match value {
         None | Some(Value::Null) => String::new(),
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,18 +1,16 @@
-//! HTTP towards callers and operators.
+//! The HTTP servers of an instance: one for callers, one for operators.
 //!
-//! The server checks the form of requests under limits of size and time and hands each
-//! to a [`RequestHandler`]. Answers come back through a [`Responder`].
+//! [`CallerServer`] reads each request under limits of size and time, validates its syntax
+//! and hands it to a [`RequestHandler`], which responds through a [`Responder`].
+//! [`AdminServer`] does the same for operators with an [`AdminHandler`].
 
 pub mod admin;
-mod answer;
-mod answer_channel;
 mod body_budget;
 pub mod caller;
+mod caller_service;
 pub mod chat;
 mod connection;
-mod deadline_io;
-mod error_form;
-mod handle;
+mod error_body;
 mod headers;
 pub mod history;
 mod listener;
@@ -22,7 +20,10 @@
 mod read_body;
 pub mod request_handler;
 pub mod responder;
+mod response;
+mod response_channel;
 pub mod settings;
+mod timeout_stream;
 
 pub use crate::admin::{
     AdminError, AdminErrorKind, AdminHandler, AdminKey, AdminOperation, AdminRequest,
--- a/crates/server/src/listener.rs
+++ b/crates/server/src/listener.rs
@@ -1,4 +1,4 @@
-//! A listening socket, its thread and the phases of its stop.
+//! A listening socket with a dedicated thread, and its graceful shutdown.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,30 +12,32 @@
 use crate::connection::{self, HttpService};
 use crate::settings::ServerSettings;
 
-/// Wait after an accept error, such as running out of file descriptors. Without it the
-/// loop would turn without rest, because the connection stays in the kernel's queue.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// Accept errors after which a stopping listener gives up on its queue (5 s of pauses).
-const MAX_FINAL_ACCEPT_FAILURES: usize = 50;
-/// Threads for work that would block the thread of the connections.
+/// Delay before accepting again after an error, such as running out of file descriptors.
+/// Without it the loop would spin, because the connection stays in the accept queue.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Number of accept errors after which a stopping listener abandons its accept queue. With
+/// [`ACCEPT_RETRY_DELAY`] this takes 5 s.
+const MAX_ACCEPT_FAILURES_ON_STOP: usize = 50;
+/// Maximum number of threads for work that would block the connection thread.
 const BLOCKING_THREADS: usize = 8;
 
-/// How far the stop of a listener has come. Only ever goes forward.
+/// Stage of the graceful shutdown of a listener. Never goes back to an earlier stage.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Stage {
-    /// No stop is planned.
+    /// Normal operation.
     Serving,
-    /// Still accepts, but asks callers to close their connections.
+    /// Accepts connections, but responses ask callers to close theirs.
     Draining,
-    /// Accepts no connection and closes idle ones early.
+    /// The listening socket is closed, and the shorter idle timeout applies.
     Closing,
 }
 
 enum Command {
+    /// Closes the listening socket and then sends a confirmation on the channel.
     StopAccepting(std_mpsc::Sender<()>),
 }
 
-/// What the tasks of a listener share.
+/// State shared by the listener's handle, its thread and its connection tasks.
 struct Shared {
     service: Arc<dyn HttpService>,
     settings: Arc<ServerSettings>,
@@ -44,7 +46,7 @@
     on_accept_error: Box<dyn Fn() + Send + Sync>,
 }
 
-/// Serves HTTP on one address, on a thread of its own.
+/// Serves HTTP on one address. All connections run on one dedicated thread.
 pub(crate) struct Listener {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -53,7 +55,8 @@
 }
 
 impl Listener {
-    /// Binds the address and starts the thread.
+    /// Binds the address and starts a thread called `name`. `on_accept_error` is called for
+    /// each failed `accept`.
     pub(crate) fn start(
         name: &str,
         address: SocketAddr,
@@ -76,10 +79,10 @@
             on_accept_error,
         });
         let (commands, inbox) = mpsc::unbounded_channel();
-        let task = Arc::clone(&shared);
+        let thread_state = Arc::clone(&shared);
         let thread = std::thread::Builder::new()
             .name(name.to_string())
-            .spawn(move || runtime.block_on(run(listener, task, inbox)))?;
+            .spawn(move || runtime.block_on(run(listener, thread_state, inbox)))?;
         Ok(Listener {
             address,
             shared,
@@ -96,7 +99,8 @@
         self.shared.advance(Stage::Draining);
     }
 
-    /// Accepts what the kernel has queued, then closes the listening socket.
+    /// Accepts the connections in the accept queue, then closes the listening socket. Blocks
+    /// until this is done.
     pub(crate) fn stop_accepting(&self) {
         let (done, wait) = std_mpsc::channel();
         let sent = match &self.commands {
@@ -110,26 +114,27 @@
     }
 
     pub(crate) fn wait_idle(&self, limit: Option<Duration>) -> bool {
-        self.shared.connections.wait_zero(limit)
+        self.shared.connections.wait_until_zero(limit)
     }
 
     pub(crate) fn connections(&self) -> usize {
         self.shared.connections.get()
     }
 
-    /// Ends the thread and returns the number of connections that this cut.
+    /// Stops the thread. Returns the number of connections that were still open.
     pub(crate) fn close(mut self) -> usize {
         self.stop_accepting();
-        let cut = self.connections();
+        let interrupted = self.connections();
         drop(self.commands.take());
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
-        cut
+        interrupted
     }
 }
 
 impl Shared {
+    /// Enters a later stage, and ignores a change to an earlier one.
     fn advance(&self, to: Stage) {
         self.stage.send_if_modified(|stage| {
             let forward = (*stage as u8) < (to as u8);
@@ -141,7 +146,8 @@
     }
 }
 
-/// Runs until the sender of commands is dropped.
+/// Accepts connections until [`Command::StopAccepting`], then keeps the runtime alive for
+/// open connections until the command channel is closed.
 async fn run(
     listener: std::net::TcpListener,
     shared: Arc<Shared>,
@@ -154,9 +160,9 @@
             return;
         }
     };
-    let slots = Arc::new(Semaphore::new(shared.settings.max_connections));
+    let permits = Arc::new(Semaphore::new(shared.settings.max_connections));
     let command = tokio::select! {
-        () = accept_all(&listener, &shared, &slots) => None,
+        () = accept_all(&listener, &shared, &permits) => None,
         command = inbox.recv() => command,
     };
     let Some(Command::StopAccepting(done)) = command else {
@@ -175,57 +181,58 @@
 async fn accept_all(
     listener: &TcpListener,
     shared: &Arc<Shared>,
-    slots: &Arc<Semaphore>,
+    permits: &Arc<Semaphore>,
 ) {
     loop {
-        let slot = Arc::clone(slots).acquire_owned().await;
+        let permit = Arc::clone(permits).acquire_owned().await;
         match listener.accept().await {
-            Ok((stream, _)) => spawn(stream, shared, slot),
+            Ok((stream, _)) => spawn(stream, shared, permit),
             Err(error) => {
                 (shared.on_accept_error)();
                 log::warn!("event=accept_failed error={error:?}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Accepts connections until the kernel's queue is empty. Works on the socket itself,
-/// because the runtime's record of its readiness may be older than the queue.
+/// Accepts connections until the kernel's accept queue is empty. Uses the socket directly,
+/// because tokio's cached readiness may miss connections that were queued since.
 async fn accept_queued(listener: std::net::TcpListener, shared: &Arc<Shared>) {
     let mut failures = 0;
-    while failures < MAX_FINAL_ACCEPT_FAILURES {
-        match accept_now(&listener) {
+    while failures < MAX_ACCEPT_FAILURES_ON_STOP {
+        match accept_nonblocking(&listener) {
             Ok(stream) => spawn(stream, shared, ()),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
             Err(error) => {
                 failures += 1;
                 (shared.on_accept_error)();
                 log::warn!("event=accept_failed error={error:?}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn accept_now(listener: &std::net::TcpListener) -> io::Result<TcpStream> {
+fn accept_nonblocking(listener: &std::net::TcpListener) -> io::Result<TcpStream> {
     let (stream, _) = listener.accept()?;
     stream.set_nonblocking(true)?;
     TcpStream::from_std(stream)
 }
 
-fn spawn(stream: TcpStream, shared: &Arc<Shared>, slot: impl Send + 'static) {
-    let counted = CountedConnection::new(Arc::clone(shared));
+fn spawn(stream: TcpStream, shared: &Arc<Shared>, permit: impl Send + 'static) {
+    let guard = ConnectionCountGuard::new(Arc::clone(shared));
     tokio::spawn(async move {
-        let shared = &counted.0;
+        let shared = &guard.0;
         let service = Arc::clone(&shared.service);
         let settings = Arc::clone(&shared.settings);
         let stage = shared.stage.subscribe();
         connection::serve(stream, service, settings, stage).await;
-        drop(slot);
+        drop(permit);
     });
 }
 
+/// The number of open connections, which other threads can wait on.
 #[derive(Default)]
 struct ConnectionCount {
     count: Mutex<usize>,
@@ -243,8 +250,8 @@
         self.changed.notify_all();
     }
 
-    /// Waits until no connection is open. Returns false when the limit passed first.
-    fn wait_zero(&self, limit: Option<Duration>) -> bool {
+    /// Blocks until no connection is open. Returns false if `limit` elapses first.
+    fn wait_until_zero(&self, limit: Option<Duration>) -> bool {
         let start = Instant::now();
         let mut count = self.count.lock().unwrap_or_else(PoisonError::into_inner);
         while *count > 0 {
@@ -257,24 +264,24 @@
             }
             let waited = self
                 .changed
-                .wait_timeout(count, left.min(ACCEPT_PAUSE * 10));
+                .wait_timeout(count, left.min(ACCEPT_RETRY_DELAY * 10));
             count = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
         true
     }
 }
 
-/// Keeps the count of connections right even if the task is dropped or panics.
-struct CountedConnection(Arc<Shared>);
+/// Counts a connection as open until it is dropped, also if its task panics or is dropped.
+struct ConnectionCountGuard(Arc<Shared>);
 
-impl CountedConnection {
-    fn new(shared: Arc<Shared>) -> CountedConnection {
+impl ConnectionCountGuard {
+    fn new(shared: Arc<Shared>) -> ConnectionCountGuard {
         shared.connections.add(1);
-        CountedConnection(shared)
+        ConnectionCountGuard(shared)
     }
 }
 
-impl Drop for CountedConnection {
+impl Drop for ConnectionCountGuard {
     fn drop(&mut self) {
         self.0.connections.add(-1);
     }
--- a/crates/server/src/metrics.rs
+++ b/crates/server/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of calls and programs, by customer and class.
+//! Prometheus metrics of calls and programs, by customer and class of service.
 
 use std::collections::BTreeSet;
 use std::sync::{PoisonError, RwLock};
@@ -6,26 +6,29 @@
 use jayreel_model::{ClassOfService, RefusalReason};
 use prometheus::{HistogramOpts, HistogramVec, IntCounterVec, IntGauge, Opts, Registry};
 
-/// Label of customers that are unknown or beyond [`MAX_CUSTOMER_LABELS`]. No customer can
-/// have this name.
-const OTHER: &str = "(other)";
-/// Customers with a label of their own. Each may cost 4 histograms for each class.
+/// Label value for customers that are unknown or exceed [`MAX_CUSTOMER_LABELS`]. It is not a
+/// valid customer name, so it cannot clash with one.
+const OTHER_CUSTOMERS: &str = "(other)";
+/// Maximum number of customers with their own label value. Each adds up to 4 histograms for
+/// each class.
 const MAX_CUSTOMER_LABELS: usize = 1_000;
-/// Bounds of the buckets for waiting and for the first token, in seconds.
-const CALL_START_BUCKETS: [f64; 12] = [
+/// Histogram bucket bounds for the waiting time and the time to the first token, in seconds.
+const CALL_START_BUCKETS_S: [f64; 12] = [
     0.001, 0.005, 0.02, 0.05, 0.1, 0.2, 0.36, 0.75, 1.5, 5.0, 15.0, 30.0,
 ];
-/// Bounds of the buckets for a whole call, in seconds.
-const CALL_BUCKETS: [f64; 12] = [
+/// Histogram bucket bounds for the duration of a call, in seconds.
+const CALL_BUCKETS_S: [f64; 12] = [
     0.01, 0.05, 0.2, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0, 180.0, 600.0,
 ];
-/// Bounds of the buckets for a whole program, in seconds.
-const PROGRAM_BUCKETS: [f64; 12] = [
+/// Histogram bucket bounds for the duration of a program, in seconds.
+const PROGRAM_BUCKETS_S: [f64; 12] = [
     0.1, 0.5, 2.0, 5.0, 15.0, 30.0, 60.0, 180.0, 600.0, 1_800.0, 3_600.0, 10_800.0,
 ];
 
-/// The metrics of one instance. Names of customers come from outside, so only customers
-/// of the configuration get a label; all others share one.
+/// The metrics of one instance.
+///
+/// Customer names may come from outside. To bound the number of time series, only customers
+/// of the configuration have their own label value, and all others share one.
 #[derive(Debug)]
 pub struct Metrics {
     customers: RwLock<BTreeSet<String>>,
@@ -39,33 +42,33 @@
 }
 
 impl Metrics {
-    /// Creates the metrics and registers them.
+    /// Creates the metrics and adds them to `registry`.
     ///
     /// # Errors
     ///
-    /// The error of the registry, such as a name that is taken.
+    /// If the registry rejects a metric, for example because its name is already registered.
     pub fn new(registry: &Registry) -> Result<Metrics, prometheus::Error> {
         let metrics = Metrics {
             customers: RwLock::new(BTreeSet::new()),
             waiting_s: histogram(
                 "jayreel_call_waiting_seconds",
                 "Time that a call waits before it is dispatched",
-                &CALL_START_BUCKETS,
+                &CALL_START_BUCKETS_S,
             )?,
             first_token_s: histogram(
                 "jayreel_call_first_token_seconds",
                 "Time from the arrival of a call to the first byte of its answer",
-                &CALL_START_BUCKETS,
+                &CALL_START_BUCKETS_S,
             )?,
             call_s: histogram(
                 "jayreel_call_seconds",
                 "Time from the arrival of a call to the end of its answer",
-                &CALL_BUCKETS,
+                &CALL_BUCKETS_S,
             )?,
             program_s: histogram(
                 "jayreel_program_seconds",
                 "Time from the first call of a program to its end",
-                &PROGRAM_BUCKETS,
+                &PROGRAM_BUCKETS_S,
             )?,
             refusals: IntCounterVec::new(
                 Opts::new("jayreel_refusals_total", "Calls that were refused"),
@@ -84,8 +87,8 @@
         Ok(metrics)
     }
 
-    /// Sets the customers of the configuration. Metrics of customers that are gone are
-    /// removed.
+    /// Sets the customers that have their own label value. Removes the time series of
+    /// customers that are no longer configured.
     pub fn set_customers<'a>(&self, names: impl IntoIterator<Item = &'a str>) {
         let new: BTreeSet<String> = names
             .into_iter()
@@ -97,46 +100,46 @@
             .write()
             .unwrap_or_else(PoisonError::into_inner);
         for gone in customers.difference(&new) {
-            self.remove(gone);
+            self.remove_customer(gone);
         }
         *customers = new;
     }
 
-    /// A call waited this long before it was dispatched.
+    /// Records the time from the arrival of a call to its dispatch.
     pub fn observe_waiting(&self, customer: &str, class: ClassOfService, ms: u64) {
         self.observe(&self.waiting_s, customer, class, ms);
     }
 
-    /// The first byte of an answer arrived this long after its call.
+    /// Records the time from the arrival of a call to the first byte of its response.
     pub fn observe_first_token(&self, customer: &str, class: ClassOfService, ms: u64) {
         self.observe(&self.first_token_s, customer, class, ms);
     }
 
-    /// A call took this long.
+    /// Records the time from the arrival of a call to the end of its response.
     pub fn observe_call(&self, customer: &str, class: ClassOfService, ms: u64) {
         self.observe(&self.call_s, customer, class, ms);
     }
 
-    /// A program took this long.
+    /// Records the time from the first call of a program to its end.
     pub fn observe_program(&self, customer: &str, class: ClassOfService, ms: u64) {
         self.observe(&self.program_s, customer, class, ms);
     }
 
-    /// A call was refused. `customer` is `None` before the key is known to be valid.
+    /// Counts a refused call. `customer` is `None` if no valid key identified it.
     pub fn count_refusal(&self, reason: RefusalReason, customer: Option<&str>) {
-        self.with_label(customer.unwrap_or(OTHER), |label| {
+        self.with_label(customer.unwrap_or(OTHER_CUSTOMERS), |label| {
             self.refusals
                 .with_label_values(&[reason.code(), label])
                 .inc();
         });
     }
 
-    /// Sets the number of calls at endpoints.
+    /// Sets the number of calls that have been dispatched to an endpoint and have not ended.
     pub fn set_running_calls(&self, count: usize) {
         self.running_calls.set(count.try_into().unwrap_or(i64::MAX));
     }
 
-    /// Sets the number of calls in queues.
+    /// Sets the number of calls that have arrived and are not at an endpoint.
     pub fn set_waiting_calls(&self, count: usize) {
         self.waiting_calls.set(count.try_into().unwrap_or(i64::MAX));
     }
@@ -155,8 +158,9 @@
         });
     }
 
-    /// Runs `record` with the label of the customer. Holds the lock, so that a customer
-    /// cannot be removed in between and come back as a stale series.
+    /// Calls `record` with the label value of the customer. Holds the read lock meanwhile,
+    /// so that a concurrent [`Metrics::set_customers`] cannot remove the customer first and
+    /// leave the series that `record` creates behind.
     fn with_label(&self, customer: &str, record: impl FnOnce(&str)) {
         let customers = self
             .customers
@@ -164,11 +168,11 @@
             .unwrap_or_else(PoisonError::into_inner);
         match customers.contains(customer) {
             true => record(customer),
-            false => record(OTHER),
+            false => record(OTHER_CUSTOMERS),
         }
     }
 
-    fn remove(&self, customer: &str) {
+    fn remove_customer(&self, customer: &str) {
         let by_class = [
             &self.waiting_s,
             &self.first_token_s,
@@ -186,7 +190,7 @@
         {
             let _ = histogram.remove_label_values(&[customer, class_label(class)]);
         }
-        for reason in REASONS {
+        for reason in ALL_REASONS {
             let _ = self
                 .refusals
                 .remove_label_values(&[reason.code(), customer]);
@@ -194,8 +198,8 @@
     }
 }
 
-/// All reasons, to remove the counters of a customer.
-const REASONS: [RefusalReason; 17] = [
+/// All values of the `reason` label, for removing the counters of a customer.
+const ALL_REASONS: [RefusalReason; 17] = [
     RefusalReason::BudgetExhausted,
     RefusalReason::CallerGone,
     RefusalReason::BodyTooLarge,
@@ -223,6 +227,7 @@
     }
 }
 
+/// Creates a histogram by customer and class. The bounds of `buckets` are in seconds.
 fn histogram(
     name: &str,
     help: &str,
--- a/crates/server/src/operation.rs
+++ b/crates/server/src/operation.rs
@@ -1,4 +1,4 @@
-//! What a request asks for.
+//! Maps the requests of callers to operations.
 
 use hyper::Method;
 use jayreel_model::{Refusal, RefusalReason};
@@ -8,15 +8,15 @@
 use crate::headers::MAX_TOKEN_BYTES;
 use crate::request_handler::Operation;
 
-/// Body of `POST /v1/programs`.
+/// The body of `POST /v1/programs`, which may also be empty.
 #[derive(Deserialize)]
 struct OpenProgramBody {
     #[serde(default)]
     budget_tokens: Option<u64>,
 }
 
-/// Finds the operation by method and path. Paths without a meaning here are plain
-/// services.
+/// Maps method and path to an operation, and parses the body where the operation has one.
+/// Paths outside the API belong to plain services.
 pub(crate) fn parse(
     method: &Method,
     path: &str,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Whether the body may be large and takes time to parse.
+/// Whether the path is that of chat completions, whose bodies can be large and slow to parse.
 pub(crate) fn is_chat(path: &str) -> bool {
     path == "/v1/chat/completions"
 }
--- a/crates/server/src/path.rs
+++ b/crates/server/src/path.rs
@@ -1,16 +1,17 @@
-//! The request target.
+//! Validates the path and query of a request.
 
 use hyper::{Method, Uri};
 use jayreel_model::{Refusal, RefusalReason};
 
-/// Most bytes of path and query.
+/// Maximum length of path and query in bytes.
 const MAX_PATH_BYTES: usize = 8 * 1024;
 
-/// The path with its query, as it may be passed on.
+/// Returns path and query if they are safe to forward to an endpoint.
 ///
-/// Routes are matched on path prefixes, and an open route needs no key. A path that means
-/// another one to the endpoint, through dot segments, plain or encoded, is refused.
-pub(crate) fn checked<'a>(
+/// Routes are matched by path prefix, and open routes need no key. A path with dot segments,
+/// plain or percent-encoded, is refused, because the endpoint could resolve it to a path
+/// that another route protects.
+pub(crate) fn validate<'a>(
     method: &Method,
     uri: &'a Uri,
     key: Option<&str>,
@@ -34,13 +35,15 @@
     }
 }
 
+/// Whether a segment is `.` or `..` after decoding. Also splits at `\` and `;`, which some
+/// servers treat as separators.
 fn has_dot_segment(path: &str) -> bool {
-    let plain = path
+    let decoded = path
         .to_ascii_lowercase()
         .replace("%2e", ".")
         .replace("%2f", "/")
         .replace("%5c", "/");
-    plain
+    decoded
         .split(['/', '\\', ';'])
         .any(|segment| segment == "." || segment == "..")
 }
--- a/crates/server/src/request_handler.rs
+++ b/crates/server/src/request_handler.rs
@@ -1,94 +1,99 @@
-//! Requests as they leave the HTTP layer.
+//! The interface between the HTTP server and the code that schedules the requests.
 
 use jayreel_model::RequestId;
 
 use crate::responder::Responder;
 
-/// What the caller asks for.
+/// The operation that method and path of a caller's request select.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Operation {
     /// `POST /v1/chat/completions`.
     ChatCompletion(ChatParams),
     /// `POST /v1/programs`.
     OpenProgram {
-        /// Budget named in the body, in tokens.
+        /// The token budget in the body. `None` if the body has none.
         budget_tokens: Option<u64>,
     },
     /// `DELETE /v1/programs/TOKEN`.
     CloseProgram {
-        /// The program token.
+        /// The program token in the path. Only its syntax has been checked.
         token: String,
     },
     /// `GET /v1/models`.
     ListModels,
-    /// Any other path: a plain service, if a route matches.
+    /// Any other path, which belongs to a plain service if a configured route matches.
     Service,
 }
 
-/// What scheduling needs to know of a chat completion.
+/// The parameters of a chat completion that scheduling needs.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ChatParams {
-    /// The model named in the body.
+    /// The field `model`.
     pub model: String,
-    /// Whether the answer is streamed.
+    /// The field `stream`. False if it is absent.
     pub stream: bool,
-    /// The most tokens to generate, if the body names it.
+    /// Maximum number of tokens to generate: `max_completion_tokens`, or else `max_tokens`.
     pub max_tokens: Option<u64>,
-    /// Upper bound of the prompt's tokens: the bytes of the message texts.
+    /// Upper bound of the prompt's length in tokens. Counts the bytes of the texts and
+    /// schemas and an allowance for the engine's chat template.
     pub prompt_bound_tokens: u64,
-    /// Hashes of growing prefixes of the messages, for affinity. Shortest first.
+    /// The [`history`](crate::history) hash after each message, shortest prefix first. Used
+    /// for cache affinity.
     pub prefix_hashes: Vec<u64>,
 }
 
-/// Headers with a meaning to jayreel. Their form is checked, their meaning is not.
+/// The request headers that jayreel interprets. Only their syntax has been checked.
 ///
-/// There is no `Debug`, so that the key cannot reach a log line by accident.
+/// `Debug` is deliberately not implemented, so that the key cannot end up in a log line.
 #[derive(Clone, Default, Eq, PartialEq)]
 pub struct CallHeaders {
-    /// The key from `Authorization: Bearer`. Kept out of all other places.
+    /// The customer key from `Authorization: Bearer`. Removed from forwarded headers; paths
+    /// that contain it are refused.
     pub key: Option<String>,
-    /// `Jayreel-Profile`.
+    /// `Jayreel-Profile`: name of the profile.
     pub profile: Option<String>,
-    /// `Jayreel-Program`.
+    /// `Jayreel-Program`: token of the program that the call belongs to.
     pub program: Option<String>,
-    /// `Jayreel-Parent`.
+    /// `Jayreel-Parent`: token of the parent, when a sub-agent's program is opened.
     pub parent: Option<String>,
-    /// `Jayreel-Turn`.
+    /// `Jayreel-Turn`: number of the call within its program.
     pub turn: Option<u32>,
-    /// `Jayreel-Epoch`.
+    /// `Jayreel-Epoch`: an incarnation of an instance.
     pub epoch: Option<String>,
-    /// `Jayreel-History`.
+    /// `Jayreel-History`: a history hash.
     pub history: Option<String>,
     /// `Idempotency-Key`.
     pub idempotency_key: Option<String>,
 }
 
-/// A request whose head and body are complete and well-formed.
+/// A complete and syntactically valid request. Its key has not been checked.
 pub struct IncomingRequest {
-    /// Unique within the process.
+    /// Unique within the process. Sent to the caller as `Jayreel-Request`.
     pub id: RequestId,
-    /// HTTP method.
+    /// The HTTP method, such as `POST`.
     pub method: String,
-    /// Path with query.
+    /// Path and query. Has no dot segments, plain or encoded.
     pub path: String,
-    /// What the caller asks for.
+    /// The operation that method and path select.
     pub operation: Operation,
-    /// Headers with a meaning to jayreel.
+    /// The headers that jayreel interprets.
     pub headers: CallHeaders,
-    /// Other end-to-end headers, to be passed on. Holds no credentials.
+    /// The end-to-end headers to forward to the endpoint. Contains no credentials.
     pub passed_headers: Vec<(String, String)>,
-    /// The complete body.
+    /// The body as the caller sent it. Empty for requests without one.
     pub body: Vec<u8>,
-    /// Where the answer goes.
+    /// Sends the response to the caller.
     pub responder: Responder,
 }
 
-/// Receives requests from the server. Must not block.
+/// Receives requests from the server. The methods run on the thread of all connections, so
+/// they must not block.
 pub trait RequestHandler: Send + Sync {
-    /// Takes a request over. The answer goes to its responder.
+    /// Takes ownership of a request. The response is sent through its responder, possibly
+    /// later and from another thread.
     fn submit(&self, request: IncomingRequest);
-    /// The caller of a request went away before the answer was complete.
+    /// Called once if the caller disconnects before the response is complete.
     fn caller_gone(&self, id: RequestId);
-    /// Whether the instance takes new work (`/readyz`).
+    /// Whether the instance accepts new requests. Determines the status of `/readyz`.
     fn ready(&self) -> bool;
 }
--- a/crates/server/src/responder.rs
+++ b/crates/server/src/responder.rs
@@ -1,19 +1,19 @@
-//! The way back to the caller.
+//! Sends the response of a request to its caller.
 
 use jayreel_model::Refusal;
 
-/// The caller has gone away.
+/// The response can no longer be sent, because the caller disconnected or stopped reading.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ResponderClosed;
 
-/// Where the answer to one request goes. The server implements it for its connections;
-/// others may implement it for requests that reach the instance on another way.
+/// The transport of one response. The server implements it for its connections; other crates
+/// can implement it for requests that arrive by other means.
 pub trait ResponseSink: Send {
     /// See [`Responder::head`].
     ///
     /// # Errors
     ///
-    /// [`ResponderClosed`] if the caller has gone away.
+    /// [`ResponderClosed`] if the caller disconnected.
     fn head(
         &mut self,
         status: u16,
@@ -23,13 +23,13 @@
     ///
     /// # Errors
     ///
-    /// [`ResponderClosed`] if the caller has gone away or stopped reading.
+    /// [`ResponderClosed`] if the caller disconnected or stopped reading.
     fn chunk(&mut self, bytes: &[u8]) -> Result<(), ResponderClosed>;
     /// See [`Responder::try_chunk`].
     ///
     /// # Errors
     ///
-    /// [`ResponderClosed`] if the caller has gone away or stopped reading.
+    /// [`ResponderClosed`] if the caller disconnected or stopped reading.
     fn try_chunk(&mut self, bytes: &[u8]) -> Result<bool, ResponderClosed>;
     /// See [`Responder::close`].
     fn close(self: Box<Self>);
@@ -39,22 +39,22 @@
     fn refuse(self: Box<Self>, refusal: &Refusal);
 }
 
-/// Sends one answer. Dropping it without an answer closes the connection.
+/// Sends one response. Dropping it before the response is complete closes the connection.
 pub struct Responder {
     sink: Box<dyn ResponseSink>,
 }
 
 impl Responder {
-    /// A responder that sends to `sink`.
+    /// Creates a responder that sends through `sink`.
     pub fn new(sink: Box<dyn ResponseSink>) -> Responder {
         Responder { sink }
     }
 
-    /// Sends status and headers. Does not block.
+    /// Sends status and headers, which must come first and only once. Does not block.
     ///
     /// # Errors
     ///
-    /// [`ResponderClosed`] if the caller has gone away.
+    /// [`ResponderClosed`] if the caller disconnected.
     pub fn head(
         &mut self,
         status: u16,
@@ -63,40 +63,40 @@
         self.sink.head(status, headers)
     }
 
-    /// Sends a piece of the body. Blocks while the caller reads slowly, so it must not be
-    /// called from [`RequestHandler::submit`](crate::RequestHandler::submit) or an async task, where it
-    /// panics; see [`Responder::try_chunk`].
+    /// Sends a chunk of the body. Blocks while the caller reads slowly. Panics in an async
+    /// task and in [`RequestHandler::submit`](crate::RequestHandler::submit); use
+    /// [`Responder::try_chunk`] there.
     ///
     /// # Errors
     ///
-    /// [`ResponderClosed`] if the caller has gone away or stopped reading.
+    /// [`ResponderClosed`] if the caller disconnected or stopped reading.
     pub fn chunk(&mut self, bytes: &[u8]) -> Result<(), ResponderClosed> {
         self.sink.chunk(bytes)
     }
 
-    /// Sends a piece of the body if there is room for it, and returns whether there was.
-    /// Does not block, so async tasks may call it.
+    /// Sends a chunk of the body if the queue has room, and returns whether it had. Does not
+    /// block, so async tasks can call it.
     ///
     /// # Errors
     ///
-    /// [`ResponderClosed`] if the caller has gone away or stopped reading.
+    /// [`ResponderClosed`] if the caller disconnected or stopped reading.
     pub fn try_chunk(&mut self, bytes: &[u8]) -> Result<bool, ResponderClosed> {
         self.sink.try_chunk(bytes)
     }
 
-    /// Ends a complete answer. Does not block.
+    /// Marks the response as complete. Does not block.
     pub fn close(self) {
         self.sink.close();
     }
 
-    /// Breaks off an answer that has begun, so that the caller sees it is incomplete.
-    /// Does not block.
+    /// Ends a response that cannot be completed. The connection is reset, so that the caller
+    /// can tell that the response is incomplete. Does not block.
     pub fn abort(self) {
         self.sink.abort();
     }
 
-    /// Answers with a refusal in the JSON error form. No head may have been sent.
-    /// Does not block.
+    /// Sends a refusal as a JSON error. Must not be called after [`Responder::head`]; the
+    /// server then aborts the response instead. Does not block.
     pub fn refuse(self, refusal: &Refusal) {
         self.sink.refuse(refusal);
     }
--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -1,35 +1,35 @@
-//! Limits of size and time for connections.
+//! Limits of size and time that protect a server from slow or oversized requests.
 
 use std::time::Duration;
 
-/// Limits of one listener. All hold for each connection on its own, except
-/// `max_connections` and `max_held_body_bytes`.
+/// Limits of one listener. They apply to each connection separately, except
+/// `max_connections` and `max_held_body_bytes`, which apply to the whole listener.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServerSettings {
-    /// Most bytes of request line and headers. At least 8,192.
+    /// Maximum size of request line and headers. Must be at least 8,192.
     pub max_head_bytes: usize,
-    /// Most headers in a request.
+    /// Maximum number of headers in a request.
     pub max_headers: usize,
-    /// Most bytes of a request body.
+    /// Maximum size of a request body.
     pub max_body_bytes: u64,
-    /// Most bytes of all request bodies that are being read or whose calls are not
-    /// answered yet. Beyond it, requests are refused as overloaded.
+    /// Maximum total size of all request bodies that are being read or whose response is
+    /// not complete. Requests that would exceed it are refused as overloaded.
     pub max_held_body_bytes: u64,
-    /// Open connections. Further ones wait in the kernel until one ends.
+    /// Maximum number of open connections. Further ones wait in the kernel's accept queue.
     pub max_connections: usize,
-    /// From the first byte of a head to its last.
+    /// Maximum time from the first byte of a request head to its last.
     pub head_timeout_ms: u64,
-    /// Between bytes of a request body.
+    /// Maximum time without a new byte while a request body is read.
     pub body_idle_timeout_ms: u64,
-    /// Between bytes that the caller takes.
+    /// Maximum time that a write may block because the caller does not read.
     pub write_timeout_ms: u64,
-    /// Without a request on an open connection.
+    /// How long a connection stays open without a request.
     pub keep_alive_timeout_ms: u64,
-    /// The same once the listener is closed. Long enough for a request that is on its
-    /// way to arrive.
+    /// Replaces `keep_alive_timeout_ms`, if shorter, once the listening socket is closed.
+    /// Long enough for a request that is already in transit to arrive.
     pub closing_idle_timeout_ms: u64,
-    /// How long input is read and discarded after the last answer, so that a caller that
-    /// is still sending receives the answer rather than a reset.
+    /// How long input is read and discarded after the last response. Without this, a caller
+    /// that is still sending would get a reset instead of the response.
     pub linger_ms: u64,
 }
 
@@ -64,6 +64,7 @@
         Duration::from_millis(self.write_timeout_ms)
     }
 
+    /// `closing` is whether the listening socket is closed.
     pub(crate) fn idle_timeout(&self, closing: bool) -> Duration {
         let limit_ms = match closing {
             true => self.closing_idle_timeout_ms.min(self.keep_alive_timeout_ms),
--- a/crates/server/src/deadline_io.rs
+++ b/crates/server/src/timeout_stream.rs
@@ -1,13 +1,14 @@
-//! A socket with a deadline on every wait.
+//! A TCP stream with separate timeouts for idle connections, request heads and writes.
 //!
-//! hyper has one deadline for the head, which also runs on an idle connection, and none
-//! for writing. This wrapper tells the waits apart.
+//! hyper has a single timeout for reading the head, which also runs while the connection is
+//! idle, and none for writing.
 //!
-//! hyper answers a head that it rejects by itself, before the service sees a request. On a
-//! connection without an earlier request that is its only output, so the wrapper drops it,
-//! and the connection sends the JSON form instead ([`rejected_head_answer`]). After a first
-//! request the output of an earlier answer may be in the same write; then hyper's answer
-//! stays, because telling the two apart would need a parser of the output.
+//! The wrapper also replaces hyper's response to a malformed head. hyper sends that response
+//! by itself, before the service sees a request. On a connection without an earlier request
+//! it is the only output, so the wrapper discards it, and the connection sends a JSON error
+//! instead ([`rejected_head_response`]). After a first request the output of an earlier
+//! response may be in the same write. hyper's response is kept then, because separating the
+//! two would need a parser of the output.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -21,28 +22,30 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, Sleep};
 
-use crate::error_form;
+use crate::error_body;
 use crate::listener::Stage;
 use crate::settings::ServerSettings;
 
-/// What a connection waits for when it waits for input.
+/// What the next input on a connection belongs to, which selects the read timeout.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Phase {
-    /// The first byte of a request.
+    /// Waits for the first byte of a request. `since` is when the connection was opened, the
+    /// last response ended or the last output was written, whichever is latest.
     Idle { since: Instant },
-    /// The rest of a head.
+    /// Has received a part of a request head. `since` is the time of its first byte.
     Head { since: Instant },
-    /// An answer. The deadline for the body is kept where the body is read.
+    /// A request is being handled. The body has its own timeout, in `read_body`.
     Busy,
 }
 
-/// The phase of one connection, shared by its socket and its requests.
+/// State of one connection, shared by its stream and the requests on it.
 #[derive(Debug)]
 pub(crate) struct ConnectionState {
     phase: Mutex<Phase>,
-    broken_off: AtomicBool,
-    /// A request has begun, so output may belong to its answer.
-    has_begun: AtomicBool,
+    /// A response ended before it was complete, so the connection must be reset.
+    incomplete: AtomicBool,
+    /// A request has begun, so output may belong to its response.
+    has_request: AtomicBool,
 }
 
 impl ConnectionState {
@@ -50,37 +53,37 @@
         let since = Instant::now();
         ConnectionState {
             phase: Mutex::new(Phase::Idle { since }),
-            broken_off: AtomicBool::new(false),
-            has_begun: AtomicBool::new(false),
+            incomplete: AtomicBool::new(false),
+            has_request: AtomicBool::new(false),
         }
     }
 
-    /// A request begins. It ends when the guard is dropped.
+    /// Marks the connection as busy until the guard is dropped.
     pub(crate) fn begin(self: &Arc<Self>) -> BusyGuard {
         *self.phase() = Phase::Busy;
-        self.has_begun.store(true, Ordering::SeqCst);
+        self.has_request.store(true, Ordering::SeqCst);
         BusyGuard(Arc::clone(self))
     }
 
-    /// The answer ended before it was complete.
-    pub(crate) fn break_off(&self) {
-        self.broken_off.store(true, Ordering::SeqCst);
+    /// Records that a response ended before it was complete.
+    pub(crate) fn mark_incomplete(&self) {
+        self.incomplete.store(true, Ordering::SeqCst);
     }
 
-    pub(crate) fn is_broken_off(&self) -> bool {
-        self.broken_off.load(Ordering::SeqCst)
+    pub(crate) fn has_incomplete_response(&self) -> bool {
+        self.incomplete.load(Ordering::SeqCst)
     }
 
-    /// Whether a request has begun on the connection.
-    pub(crate) fn has_begun(&self) -> bool {
-        self.has_begun.load(Ordering::SeqCst)
+    /// Whether a request has begun since the connection was opened.
+    pub(crate) fn has_request(&self) -> bool {
+        self.has_request.load(Ordering::SeqCst)
     }
 
     fn phase(&self) -> MutexGuard<'_, Phase> {
         self.phase.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note_input(&self) {
+    fn record_input(&self) {
         let mut phase = self.phase();
         if let Phase::Idle { .. } = *phase {
             *phase = Phase::Head {
@@ -89,7 +92,7 @@
         }
     }
 
-    fn note_output(&self) {
+    fn record_output(&self) {
         let mut phase = self.phase();
         if let Phase::Idle { since } = &mut *phase {
             *since = Instant::now();
@@ -97,7 +100,8 @@
     }
 }
 
-/// Held while a request is answered.
+/// Held from the start of a request to the end of its response. Dropping it makes the
+/// connection idle.
 #[derive(Debug)]
 pub(crate) struct BusyGuard(Arc<ConnectionState>);
 
@@ -114,28 +118,28 @@
     }
 }
 
-/// See the module documentation.
+/// A TCP stream with timeouts; see the module documentation.
 #[derive(Debug)]
-pub(crate) struct DeadlineIo {
+pub(crate) struct TimeoutStream {
     stream: TcpStream,
     state: Arc<ConnectionState>,
     settings: Arc<ServerSettings>,
     stage: watch::Receiver<Stage>,
     read_timer: Pin<Box<Sleep>>,
     write_timer: Pin<Box<Sleep>>,
-    /// The kernel did not take all output. The write deadline runs.
+    /// The socket buffer is full, and `write_timer` is running.
     write_blocked: bool,
 }
 
-impl DeadlineIo {
+impl TimeoutStream {
     pub(crate) fn new(
         stream: TcpStream,
         state: Arc<ConnectionState>,
         settings: Arc<ServerSettings>,
         stage: watch::Receiver<Stage>,
-    ) -> DeadlineIo {
+    ) -> TimeoutStream {
         let now = Instant::now();
-        DeadlineIo {
+        TimeoutStream {
             stream,
             state,
             settings,
@@ -150,6 +154,7 @@
         self.stream
     }
 
+    /// When the wait for input ends, or `None` if it has no limit in the current phase.
     fn read_deadline(&self) -> Option<Instant> {
         let closing = *self.stage.borrow() == Stage::Closing;
         match *self.state.phase() {
@@ -160,7 +165,8 @@
         }
     }
 
-    fn is_read_overdue(&mut self, context: &mut Context<'_>) -> bool {
+    /// Whether the read deadline has passed. If not, the task is woken when it does.
+    fn is_read_timed_out(&mut self, context: &mut Context<'_>) -> bool {
         let Some(deadline) = self.read_deadline() else {
             return false;
         };
@@ -170,16 +176,18 @@
         self.read_timer.as_mut().poll(context).is_ready()
     }
 
-    fn end_input(&mut self) {
+    /// Sends a 408 response if a request head is unfinished. An idle connection gets none.
+    fn report_read_timeout(&mut self) {
         let in_head = matches!(*self.state.phase(), Phase::Head { .. });
         if in_head && !self.write_blocked {
-            let _ = self.stream.try_write(&head_timeout_answer());
+            let _ = self.stream.try_write(&head_timeout_response());
         }
         log::debug!("event=input_timeout in_head={in_head}");
     }
 
-    /// Applies the write deadline to the outcome of a write.
-    fn written(
+    /// Starts the write timeout when a write blocks, and fails the write once it passes.
+    /// `offered` is the number of bytes that were to be written.
+    fn apply_write_timeout(
         &mut self,
         context: &mut Context<'_>,
         offered: usize,
@@ -194,7 +202,7 @@
             Poll::Pending => {}
             Poll::Ready(Ok(count)) => {
                 self.write_blocked = false;
-                self.state.note_output();
+                self.state.record_output();
                 log::trace!("event=written offered={offered} count={count}");
                 return outcome;
             }
@@ -207,15 +215,15 @@
     }
 }
 
-/// Sent when a caller begins a head and does not finish it in time.
-fn head_timeout_answer() -> Vec<u8> {
+/// The response to a head that is not complete within the head timeout.
+fn head_timeout_response() -> Vec<u8> {
     let message = "the head did not arrive in time";
     let refusal = Refusal::not_run(RefusalReason::RequestTimeout, message);
-    head_answer("408 Request Timeout", &refusal)
+    raw_error_response("408 Request Timeout", &refusal)
 }
 
-/// Sent for a head that hyper does not accept.
-pub(crate) fn rejected_head_answer(is_too_large: bool) -> Vec<u8> {
+/// The response to a head that hyper rejects.
+pub(crate) fn rejected_head_response(is_too_large: bool) -> Vec<u8> {
     let (status, message) = match is_too_large {
         true => (
             "431 Request Header Fields Too Large",
@@ -224,23 +232,24 @@
         false => ("400 Bad Request", "the head is malformed"),
     };
     let refusal = Refusal::not_run(RefusalReason::InvalidRequest, message);
-    head_answer(status, &refusal)
+    raw_error_response(status, &refusal)
 }
 
-/// An answer to a request whose head was not read.
-fn head_answer(status: &str, refusal: &Refusal) -> Vec<u8> {
-    let body = error_form::body(refusal, None);
-    let mut answer = format!(
+/// Encodes a response by hand, for requests without a parsed head, which hyper cannot
+/// respond to.
+fn raw_error_response(status: &str, refusal: &Refusal) -> Vec<u8> {
+    let body = error_body::body(refusal, None);
+    let mut response = format!(
         "HTTP/1.1 {status}\r\nconnection: close\r\n\
          content-type: application/json\r\ncontent-length: {}\r\n\r\n",
         body.len(),
     )
     .into_bytes();
-    answer.extend_from_slice(&body);
-    answer
+    response.extend_from_slice(&body);
+    response
 }
 
-impl AsyncRead for DeadlineIo {
+impl AsyncRead for TimeoutStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -250,12 +259,13 @@
         match Pin::new(&mut self.stream).poll_read(context, buffer) {
             Poll::Ready(outcome) => {
                 if buffer.filled().len() > filled {
-                    self.state.note_input();
+                    self.state.record_input();
                 }
                 Poll::Ready(outcome)
             }
-            Poll::Pending if self.is_read_overdue(context) => {
-                self.end_input();
+            Poll::Pending if self.is_read_timed_out(context) => {
+                self.report_read_timeout();
+                // hyper takes an empty read for the end of the input and closes.
                 Poll::Ready(Ok(()))
             }
             Poll::Pending => Poll::Pending,
@@ -263,30 +273,31 @@
     }
 }
 
-impl AsyncWrite for DeadlineIo {
+impl AsyncWrite for TimeoutStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if !self.state.has_begun() {
+        if !self.state.has_request() {
+            // Discards hyper's response to a malformed head; see the module documentation.
             return Poll::Ready(Ok(bytes.len()));
         }
         let outcome = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.written(context, bytes.len(), outcome)
+        self.apply_write_timeout(context, bytes.len(), outcome)
     }
 
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-        pieces: &[IoSlice<'_>],
+        buffers: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let offered = pieces.iter().map(|piece| piece.len()).sum();
-        if !self.state.has_begun() {
+        let offered = buffers.iter().map(|buffer| buffer.len()).sum();
+        if !self.state.has_request() {
             return Poll::Ready(Ok(offered));
         }
-        let outcome = Pin::new(&mut self.stream).poll_write_vectored(context, pieces);
-        self.written(context, offered, outcome)
+        let outcome = Pin::new(&mut self.stream).poll_write_vectored(context, buffers);
+        self.apply_write_timeout(context, offered, outcome)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/server/tests/admin.rs
+++ b/crates/server/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The administration API.
+//! The server and the paths of the administration API, and the metrics.
 
 mod support;
 
@@ -12,10 +12,10 @@
     ServerSettings,
 };
 use prometheus::Registry;
-use support::{Answer, Client, LIMIT};
+use support::{Client, Response, TIMEOUT};
 use test_case::test_case;
 
-/// Records requests and answers version 7, or an error for the name `taken`.
+/// Records requests. Returns version 7, or a version mismatch for the profile `taken`.
 #[derive(Default)]
 struct Recorder(Mutex<Vec<AdminRequest>>);
 
@@ -56,82 +56,89 @@
     (server, recorder)
 }
 
-fn ask(address: SocketAddr, line: &str, headers: &str, body: &str) -> Answer {
+fn send_request(address: SocketAddr, line: &str, headers: &str, body: &str) -> Response {
     let mut client = Client::connect(address);
     let length = body.len();
     client.send(format!(
         "{line} HTTP/1.1\r\nhost: x\r\ncontent-length: {length}\r\n{headers}\r\n{body}"
     ));
-    client.answer().expect("an answer")
+    client.read_response().expect("a response")
 }
 
 const KEY: &str = "authorization: Bearer second\r\n";
 
-/// Guards against requests without a valid key of an operator.
+/// Guards against handling requests without a valid operator key.
 #[test_case(""; "no key")]
 #[test_case("authorization: Bearer third\r\n"; "unknown key")]
 #[test_case("authorization: Basic second\r\n"; "other scheme")]
-fn key_is_needed(headers: &str) {
+fn valid_key_is_required(headers: &str) {
     let (server, recorder) = start(false, Registry::new());
     for line in ["GET /admin/v1/status", "GET /metrics", "GET /nothing"] {
-        let answer = ask(server.address(), line, headers, "");
-        assert_eq!(answer.status, 401, "{line}");
-        assert_eq!(answer.header("www-authenticate"), Some("Bearer"));
+        let response = send_request(server.address(), line, headers, "");
+        assert_eq!(response.status, 401, "{line}");
+        assert_eq!(response.header("www-authenticate"), Some("Bearer"));
     }
     assert!(recorder.0.lock().expect("no panic").is_empty());
-    server.close(Some(LIMIT));
+    server.close(Some(TIMEOUT));
 }
 
-/// Guards against racing changes that lose their expected version on the way.
+/// Guards against losing the expected version of a change, so that concurrent changes could
+/// overwrite each other.
 #[test]
-fn conditions_and_version_pass_through() {
+fn expected_version_reaches_the_handler() {
     let (server, recorder) = start(false, Registry::new());
     let put = "PUT /admin/v1/profiles/fast";
     let headers = format!("{KEY}if-match: \"41\"\r\n");
-    let answer = ask(server.address(), put, &headers, "{\"a\":1}");
-    assert_eq!((answer.status, answer.header("etag")), (200, Some("\"7\"")));
+    let response = send_request(server.address(), put, &headers, "{\"a\":1}");
+    assert_eq!(
+        (response.status, response.header("etag")),
+        (200, Some("\"7\""))
+    );
     let headers = format!("{KEY}if-none-match: *\r\n");
-    ask(server.address(), put, &headers, "{}");
+    send_request(server.address(), put, &headers, "{}");
     let requests = recorder.0.lock().expect("no panic").clone();
     assert_eq!(requests[0].operator, "binh");
     assert_eq!(requests[0].expected, Some(ExpectedVersion::Is(41)));
     assert_eq!(requests[0].body, b"{\"a\":1}");
     assert_eq!(requests[1].expected, Some(ExpectedVersion::Absent));
-    let taken = ask(server.address(), "PUT /admin/v1/profiles/taken", KEY, "{}");
+    let taken = send_request(server.address(), "PUT /admin/v1/profiles/taken", KEY, "{}");
     assert_eq!(taken.status, 412);
     assert!(taken.text().contains("\"code\":\"version_mismatch\""));
-    server.close(Some(LIMIT));
+    server.close(Some(TIMEOUT));
 }
 
-/// Guards against conditions that are read as no condition at all.
+/// Guards against treating a malformed condition as no condition.
 #[test_case("if-match: 41"; "no quotes")]
 #[test_case("if-match: *"; "any")]
 #[test_case("if-match: \"+1\""; "sign")]
 #[test_case("if-match: \"-1\""; "negative")]
 #[test_case("if-match: \"1\"\r\nif-none-match: *"; "both")]
 #[test_case("if-none-match: \"1\""; "other than a version")]
-fn bad_condition(header: &str) {
+fn malformed_condition_is_refused(header: &str) {
     let (server, recorder) = start(false, Registry::new());
     let headers = format!("{KEY}{header}\r\n");
     let line = "DELETE /admin/v1/routes/a";
-    assert_eq!(ask(server.address(), line, &headers, "").status, 400);
+    assert_eq!(
+        send_request(server.address(), line, &headers, "").status,
+        400
+    );
     assert!(recorder.0.lock().expect("no panic").is_empty());
-    server.close(Some(LIMIT));
+    server.close(Some(TIMEOUT));
 }
 
-/// Guards against a large body that the small API would hold in memory.
+/// Guards against bodies of unlimited size on the administration listener.
 #[test]
 fn large_body() {
     let (server, _recorder) = start(false, Registry::new());
     let body = "x".repeat(1_001);
     let line = "PUT /admin/v1/routes/a";
-    assert_eq!(ask(server.address(), line, KEY, &body).status, 413);
-    server.close(Some(LIMIT));
+    assert_eq!(send_request(server.address(), line, KEY, &body).status, 413);
+    server.close(Some(TIMEOUT));
 }
 
-/// Guards against paths that lead to another operation than documented.
+/// Guards against paths that map to an operation other than the documented one.
 #[test]
-fn paths() {
+fn paths_map_to_operations() {
     let parse = jayreel_server::admin::parse;
     let name = || "a-1".to_string();
     let kinds = [
@@ -161,7 +168,8 @@
     assert_eq!(parse("GET", "/admin/v1/status"), Ok(AdminOperation::Status));
 }
 
-/// Guards against names that leave their prefix in the store, and against wrong methods.
+/// Guards against names that would address another key in the store, and against methods that
+/// a path does not support.
 #[test_case("GET", "/admin/v1/profiles/..", AdminErrorKind::Invalid; "dots")]
 #[test_case("GET", "/admin/v1/profiles/a%2Fb", AdminErrorKind::Invalid; "encoded")]
 #[test_case("GET", "/admin/v1/profiles/", AdminErrorKind::Invalid; "empty name")]
@@ -171,13 +179,13 @@
 #[test_case("PUT", "/admin/v1/profiles", AdminErrorKind::MethodNotAllowed; "list")]
 #[test_case("PATCH", "/admin/v1/keys/a", AdminErrorKind::MethodNotAllowed; "record")]
 #[test_case("GET", "/admin/v1/instances/a/forget", AdminErrorKind::MethodNotAllowed; "get")]
-fn bad_path(method: &str, path: &str, kind: AdminErrorKind) {
+fn invalid_path_is_refused(method: &str, path: &str, kind: AdminErrorKind) {
     let error = jayreel_server::admin::parse(method, path).expect_err("it is accepted");
     assert_eq!(error.kind, kind);
 }
 
-/// Guards against unknown names that each open a new series, and against series that stay
-/// after their customer is gone.
+/// Guards against a new time series for each unknown customer name, and against series that
+/// remain after their customer is removed.
 #[test]
 fn metrics_have_bounded_labels() {
     let registry = Registry::new();
@@ -197,7 +205,7 @@
     metrics.set_running_calls(3);
     metrics.set_waiting_calls(4);
     let (server, _recorder) = start(true, registry);
-    let text = ask(server.address(), "GET /metrics", "", "").text();
+    let text = send_request(server.address(), "GET /metrics", "", "").text();
     for line in [
         "jayreel_call_seconds_count{class=\"interactive\",customer=\"(other)\"} 100",
         "jayreel_call_seconds_sum{class=\"interactive\",customer=\"zeta\"} 1.5",
@@ -213,7 +221,7 @@
     }
     assert!(!text.contains("stranger"), "{text}");
     metrics.set_customers(["acme"]);
-    let text = ask(server.address(), "GET /metrics", "", "").text();
+    let text = send_request(server.address(), "GET /metrics", "", "").text();
     assert!(text.contains("acme") && !text.contains("zeta"), "{text}");
-    server.close(Some(LIMIT));
+    server.close(Some(TIMEOUT));
 }
--- a/crates/server/tests/file_descriptors.rs
+++ b/crates/server/tests/file_descriptors.rs
@@ -1,5 +1,5 @@
-//! Running out of file descriptors. Alone in its file, because it changes a limit of the
-//! whole process.
+//! Behaviour of the server when the process runs out of file descriptors. In a file of its
+//! own, because it changes a limit of the whole process.
 
 mod support;
 
@@ -9,22 +9,22 @@
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use support::{Client, Fixture, get, wait_until};
 
-/// Guards against a listener that ends at the first accept error.
+/// Guards against a listener that stops accepting after the first error of `accept`.
 #[test]
-fn accept_survives_a_lack_of_descriptors() {
+fn listener_recovers_from_accept_errors() {
     let maximum = getrlimit(Resource::Nofile).maximum;
     let current = Some(200);
     setrlimit(Resource::Nofile, Rlimit { current, maximum }).expect("a lower limit");
     let fixture = Fixture::start(ServerSettings::default());
-    let mut hoard: Vec<File> =
+    let mut open_files: Vec<File> =
         std::iter::from_fn(|| File::open("/dev/null").ok()).collect();
-    drop(hoard.pop());
+    drop(open_files.pop());
     let mut client = Client::connect(fixture.server.address());
     wait_until("accept errors", || fixture.server.accept_errors() >= 2);
-    drop(hoard);
+    drop(open_files);
     client.send(get("/x", ""));
-    let mut responder = fixture.next().responder;
+    let mut responder = fixture.next_request().responder;
     responder.head(200, &[]).expect("the caller waits");
     responder.close();
-    assert_eq!(client.answer().expect("an answer").status, 200);
+    assert_eq!(client.read_response().expect("a response").status, 200);
 }
--- a/crates/server/tests/parsers.rs
+++ b/crates/server/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Properties of the parsers of outside input, with a fixed seed.
+//! Property tests, with a fixed seed, of the chat body parser and the history hash.
 
 use jayreel_server::chat::parse;
 use jayreel_server::history;
@@ -15,6 +15,7 @@
     }
 }
 
+/// Arbitrary JSON whose keys are often those of a chat request.
 fn any_json() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
@@ -38,6 +39,7 @@
     })
 }
 
+/// The body of a chat request with these pairs of role and content.
 fn body(messages: &[(String, String)]) -> Vec<u8> {
     let messages: Vec<Value> = messages
         .iter()
@@ -49,13 +51,13 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Guards against input that panics the thread of all connections.
+    /// Guards against a panic of the parser, which runs on the thread of all connections.
     #[test]
     fn bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = parse(&bytes);
     }
 
-    /// Guards against JSON of an unexpected shape that panics.
+    /// Guards against a panic on valid JSON of an unexpected structure.
     #[test]
     fn json_never_panics(value in any_json()) {
         let _ = parse(value.to_string().as_bytes());
@@ -64,7 +66,7 @@
         let _ = parse(messages.to_string().as_bytes());
     }
 
-    /// Guards against a cut in the middle that parses as a whole request.
+    /// Guards against parsing a truncated body as a complete request.
     #[test]
     fn truncated_body_is_refused(
         messages in prop::collection::vec((".{0,9}", ".{0,30}"), 1..5),
@@ -75,10 +77,10 @@
         prop_assert!(parse(&body[..cut.index(body.len())]).is_err());
     }
 
-    /// Guards against a prompt bound below the texts, with which a program could exceed
-    /// its budget, and against prefix hashes that change as the history grows.
+    /// Guards against a prompt bound below the actual size, with which a program could exceed
+    /// its budget, and against prefix hashes that change when messages are appended.
     #[test]
-    fn bound_and_prefixes(messages in prop::collection::vec((".{0,9}", ".{0,30}"), 1..8)) {
+    fn prompt_bound_and_prefix_hashes(messages in prop::collection::vec((".{0,9}", ".{0,30}"), 1..8)) {
         let whole = parse(&body(&messages)).expect("a chat body");
         let texts: usize = messages.iter().map(|(_, content)| content.len()).sum();
         let template = 16 * messages.len() as u64;
@@ -90,10 +92,10 @@
         }
     }
 
-    /// Guards against two histories that share a hash because fields or messages run into
-    /// each other.
+    /// Guards against equal hashes of different histories, as when the boundaries between
+    /// fields or messages are not hashed.
     #[test]
-    fn different_histories_differ(
+    fn different_histories_have_different_hashes(
         one in prop::collection::vec(("[ab]{0,3}", "[ab]{0,3}"), 1..4),
         two in prop::collection::vec(("[ab]{0,3}", "[ab]{0,3}"), 1..4),
     ) {
@@ -104,10 +106,10 @@
     }
 }
 
-/// Guards against an answer that comes back from the caller in another spelling and no
-/// longer matches its hash.
+/// Guards against a hash that depends on the encoding of a message: callers send generated
+/// messages back with fields reordered, added as null or removed.
 #[test]
-fn spelling_does_not_change_the_hash() {
+fn encoding_does_not_change_the_hash() {
     let one = json!({"role": "assistant", "content": "hi", "refusal": null});
     let two = json!({"content": "hi", "tool_calls": [], "role": "assistant"});
     let other = json!({"content": "ho", "role": "assistant"});
@@ -116,9 +118,9 @@
     assert_ne!(extend(&one), extend(&other));
 }
 
-/// Guards against a value that moves to another field without a change of the hash.
+/// Guards against a hash that does not cover which field a value is in.
 #[test]
-fn fields_are_kept_apart() {
+fn hash_depends_on_the_field() {
     let extend = |message: &Value| history::extend(history::EMPTY, message);
     let content = json!({"role": "user", "content": "x"});
     let name = json!({"role": "user", "name": "x"});
--- a/crates/server/tests/random_input.rs
+++ b/crates/server/tests/random_input.rs
@@ -1,5 +1,5 @@
-//! Random input, with a fixed seed, on whole connections and on the paths of the
-//! administration API.
+//! Property tests, with a fixed seed, that send random input to the server for callers and to
+//! the path parser of the administration API.
 
 mod support;
 
@@ -17,7 +17,8 @@
     }
 }
 
-/// Parts of requests, so that random sequences get past the first parser.
+/// Fragments of requests. Random sequences of them get further into the parsers than random
+/// bytes.
 fn part() -> impl Strategy<Value = Vec<u8>> {
     let fixed = prop::sample::select(vec![
         "GET ",
@@ -45,7 +46,8 @@
     ]
 }
 
-/// Guards against input that ends the thread of all connections.
+/// Guards against input that panics the thread of all connections, and against a path with
+/// dot segments that reaches the handler.
 #[test]
 fn server_survives_random_input() {
     let fixture = Fixture::start(ServerSettings {
@@ -58,12 +60,15 @@
     let parts = prop::collection::vec(part(), 1..16);
     let outcome = runner.run(&parts, |parts| {
         let mut client = fixture.connect();
-        // The server may answer and close before all is written.
+        // The server may respond and close before all parts are written.
         let _ = std::io::Write::write_all(&mut client.stream, &parts.concat());
         let mut probe = fixture.connect();
         probe.send(get("/healthz", ""));
-        prop_assert_eq!(probe.answer().map(|answer| answer.status), Some(200));
-        while let Some(request) = fixture.has_request() {
+        prop_assert_eq!(
+            probe.read_response().map(|response| response.status),
+            Some(200)
+        );
+        while let Some(request) = fixture.try_next_request() {
             prop_assert!(!request.path.contains("/../"), "{}", request.path);
         }
         Ok(())
@@ -74,9 +79,9 @@
 proptest! {
     #![proptest_config(config(1_000))]
 
-    /// Guards against names that reach beyond their place in the store.
+    /// Guards against record names that would address another key in the store.
     #[test]
-    fn admin_names_stay_in_their_place(
+    fn admin_names_cannot_escape_their_store_prefix(
         method in prop::sample::select(vec!["GET", "PUT", "DELETE", "POST"]),
         path in "/admin/v1/(profiles|keys|instances)/[a-c./%]{0,6}(/forget)?",
     ) {
--- a/crates/server/tests/requests.rs
+++ b/crates/server/tests/requests.rs
@@ -1,4 +1,4 @@
-//! What reaches the intake, and in which form.
+//! Valid requests of callers: how they are passed to the handler, and the form of refusals.
 
 mod support;
 
@@ -6,16 +6,17 @@
 use jayreel_server::{Operation, ServerSettings};
 use support::{CHAT, Fixture, get, post};
 
-/// Guards against a key, a cookie or a header of jayreel that reaches an endpoint.
+/// Guards against forwarding a key, another credential, a hop-by-hop header or a `Jayreel-`
+/// header to an endpoint.
 #[test]
-fn credentials_are_not_passed_on() {
+fn credentials_are_not_forwarded() {
     let fixture = Fixture::start(ServerSettings::default());
     let mut client = fixture.connect();
     let headers = "authorization: Bearer s3cret\r\ncookie: a=b\r\nx-api-key: k\r\n\
         jayreel-profile: fast\r\nconnection: keep-alive, x-hop\r\nx-hop: 1\r\n\
         x-copy: the s3cret again\r\nx-kept: yes\r\nte: trailers\r\n";
     client.send(post("/tools/run?a=1", headers, "body"));
-    let request = fixture.next();
+    let request = fixture.next_request();
     assert_eq!(request.headers.key.as_deref(), Some("s3cret"));
     assert_eq!(request.headers.profile.as_deref(), Some("fast"));
     let kept = vec![("x-kept".to_string(), "yes".to_string())];
@@ -25,7 +26,8 @@
     assert_eq!(request.operation, Operation::Service);
 }
 
-/// Guards against a body that is re-encoded on its way, which would lose unknown fields.
+/// Guards against re-encoding the body, which would lose unknown fields, and against asking
+/// the engine for a compressed response, which the token usage could not be read from.
 #[test]
 fn chat_body_is_unchanged() {
     let fixture = Fixture::start(ServerSettings::default());
@@ -34,7 +36,7 @@
     let headers = "accept-encoding: gzip\r\n";
     let mut client = fixture.connect();
     client.send(post("/v1/chat/completions", headers, body));
-    let request = fixture.next();
+    let request = fixture.next_request();
     assert_eq!(request.body, body.as_bytes());
     assert_eq!(request.passed_headers, Vec::new());
     let Operation::ChatCompletion(facts) = request.operation else {
@@ -46,15 +48,15 @@
     assert_eq!(facts.prefix_hashes.len(), 1);
 }
 
-/// Guards against headers that are lost or read wrongly.
+/// Guards against `Jayreel-` headers and idempotency keys that are lost or misparsed.
 #[test]
-fn headers_of_a_program_call() {
+fn program_headers_are_parsed() {
     let fixture = Fixture::start(ServerSettings::default());
     let headers = "jayreel-program: t1\r\njayreel-parent: t0\r\njayreel-turn: 7\r\n\
         jayreel-epoch: a.1\r\njayreel-history: 00ff\r\nidempotency-key: \"k-1\"\r\n";
     let mut client = fixture.connect();
     client.send(post("/v1/chat/completions", headers, CHAT));
-    let headers = fixture.next().headers;
+    let headers = fixture.next_request().headers;
     assert_eq!(headers.program.as_deref(), Some("t1"));
     assert_eq!(headers.parent.as_deref(), Some("t0"));
     assert_eq!(headers.turn, Some(7));
@@ -63,45 +65,48 @@
     assert_eq!(headers.idempotency_key.as_deref(), Some("k-1"));
 }
 
-/// Guards against programs that open or close under the wrong operation.
+/// Guards against requests that are mapped to the wrong operation.
 #[test]
-fn program_operations() {
+fn paths_map_to_operations() {
     let fixture = Fixture::start(ServerSettings::default());
     let mut client = fixture.connect();
     client.send(post("/v1/programs", "", r#"{"budget_tokens":5}"#));
-    let request = fixture.next();
+    let request = fixture.next_request();
     let budget_tokens = Some(5);
     assert_eq!(request.operation, Operation::OpenProgram { budget_tokens });
     request
         .responder
         .refuse(&Refusal::not_run(RefusalReason::NotReady, "later"));
-    client.answer().expect("an answer");
+    client.read_response().expect("a response");
     client.send("DELETE /v1/programs/abc HTTP/1.1\r\nhost: x\r\n\r\n");
     let token = "abc".to_string();
-    assert_eq!(fixture.next().operation, Operation::CloseProgram { token });
+    assert_eq!(
+        fixture.next_request().operation,
+        Operation::CloseProgram { token }
+    );
     let mut client = fixture.connect();
     client.send(get("/v1/models", ""));
-    assert_eq!(fixture.next().operation, Operation::ListModels);
+    assert_eq!(fixture.next_request().operation, Operation::ListModels);
 }
 
-/// Guards against a retry that comes too early because a part of a second was cut off,
-/// and against refusals that do not have the documented form.
+/// Guards against rounding `Retry-After` down to whole seconds, which makes retries come too
+/// early, and against refusals whose headers or JSON body differ from the documented ones.
 #[test]
-fn refusal_has_the_json_form() {
+fn refusal_is_encoded_as_json_error() {
     let fixture = Fixture::start(ServerSettings::default());
     let mut client = fixture.connect();
     client.send(get("/x", ""));
-    let request = fixture.next();
+    let request = fixture.next_request();
     let refusal = Refusal::not_run(RefusalReason::RateExceeded, "slow down");
     request.responder.refuse(&refusal.retry_after_ms(1_001));
-    let answer = client.answer().expect("an answer");
-    assert_eq!(answer.status, 429);
-    assert_eq!(answer.header("retry-after"), Some("2"));
-    assert_eq!(answer.header("content-type"), Some("application/json"));
+    let response = client.read_response().expect("a response");
+    assert_eq!(response.status, 429);
+    assert_eq!(response.header("retry-after"), Some("2"));
+    assert_eq!(response.header("content-type"), Some("application/json"));
     let id = request.id.to_string();
-    assert_eq!(answer.header("jayreel-request"), Some(id.as_str()));
+    assert_eq!(response.header("jayreel-request"), Some(id.as_str()));
     let body: serde_json::Value =
-        serde_json::from_slice(&answer.body).expect("a JSON body");
+        serde_json::from_slice(&response.body).expect("a JSON body");
     let expected = serde_json::json!({"error": {
         "type": "rate_limit_error", "code": "rate_exceeded", "message": "slow down",
         "request_id": id, "ran": "no",
@@ -109,16 +114,17 @@
     assert_eq!(body, expected);
 }
 
-/// Guards against large bodies, which are parsed on another thread, that are lost there.
+/// Guards against losing or changing a body that is large enough to be parsed on another
+/// thread.
 #[test]
-fn large_chat_body_arrives() {
+fn large_chat_body_is_parsed() {
     let fixture = Fixture::start(ServerSettings::default());
     let text = "word ".repeat(100_000);
     let body =
         format!(r#"{{"model":"m","messages":[{{"role":"user","content":"{text}"}}]}}"#);
     let mut client = fixture.connect();
     client.send(post("/v1/chat/completions", "", &body));
-    let request = fixture.next();
+    let request = fixture.next_request();
     assert_eq!(request.body.len(), body.len());
     let Operation::ChatCompletion(facts) = request.operation else {
         panic!("not a chat completion");
--- a/crates/server/tests/answers.rs
+++ b/crates/server/tests/responses.rs
@@ -1,4 +1,4 @@
-//! Answers, and callers that leave before the end of them.
+//! Responses to callers, including aborted ones and callers that disconnect early.
 
 mod support;
 
@@ -10,7 +10,7 @@
     CallerServer, IncomingRequest, RequestHandler, Responder, ResponderClosed,
     ServerSettings,
 };
-use support::{Client, Fixture, LIMIT, get, wait_until};
+use support::{Client, Fixture, TIMEOUT, get, wait_until};
 use test_case::test_case;
 
 fn headers(list: &[(&str, &str)]) -> Vec<(String, String)> {
@@ -19,102 +19,106 @@
         .collect()
 }
 
-/// Guards against pieces that are lost or reordered between the threads, and against
-/// headers of the endpoint's connection that reach the caller.
+/// Guards against chunks that are lost or reordered between the threads, and against
+/// forwarding hop-by-hop headers of the endpoint to the caller.
 #[test]
-fn streamed_answer_arrives_whole() {
+fn streamed_response_arrives_complete() {
     let fixture = Fixture::start(ServerSettings::default());
     let mut client = fixture.connect();
     client.send(get("/x", ""));
-    let mut responder = fixture.next().responder;
+    let mut responder = fixture.next_request().responder;
     let head = headers(&[("x-a", "1"), ("connection", "close"), ("keep-alive", "9")]);
     responder.head(200, &head).expect("the caller waits");
     let mut expected = Vec::new();
-    let answering = std::thread::spawn(move || {
+    let responding = std::thread::spawn(move || {
         for number in 0..1_000 {
-            let piece = format!("piece {number};");
-            responder.chunk(piece.as_bytes()).expect("the caller reads");
+            let chunk = format!("chunk {number};");
+            responder.chunk(chunk.as_bytes()).expect("the caller reads");
         }
         responder.close();
     });
     for number in 0..1_000 {
-        expected.extend_from_slice(format!("piece {number};").as_bytes());
+        expected.extend_from_slice(format!("chunk {number};").as_bytes());
     }
-    let answer = client.answer().expect("an answer");
-    answering.join().expect("no panic");
-    assert!(answer.complete);
-    assert!(answer.body == expected, "pieces are lost or reordered");
-    assert_eq!(answer.header("x-a"), Some("1"));
-    assert_eq!(answer.header("connection"), None);
-    assert_eq!(answer.header("keep-alive"), None);
+    let response = client.read_response().expect("a response");
+    responding.join().expect("no panic");
+    assert!(response.complete);
+    assert!(response.body == expected, "chunks are lost or reordered");
+    assert_eq!(response.header("x-a"), Some("1"));
+    assert_eq!(response.header("connection"), None);
+    assert_eq!(response.header("keep-alive"), None);
 }
 
-/// Guards against an answer that was broken off and looks complete.
+/// Guards against an aborted response that looks complete to the caller.
 #[test]
-fn aborted_answer_is_incomplete() {
+fn aborted_response_is_incomplete() {
     let fixture = Fixture::start(ServerSettings::default());
-    for drop_it in [false, true] {
+    for drop_responder in [false, true] {
         let mut client = fixture.connect();
         client.send(get("/x", ""));
-        let mut responder = fixture.next().responder;
+        let mut responder = fixture.next_request().responder;
         responder.head(200, &[]).expect("the caller waits");
         responder.chunk(b"first").expect("the caller waits");
-        match drop_it {
+        match drop_responder {
             true => drop(responder),
             false => responder.abort(),
         }
-        match client.answer() {
-            Some(answer) => assert!(!answer.complete, "{answer:?}"),
+        match client.read_response() {
+            Some(response) => assert!(!response.complete, "{response:?}"),
             None => assert!(client.is_closed()),
         }
     }
-    let intake = fixture.intake.clone();
+    let handler = fixture.handler.clone();
     fixture.server.close();
-    assert_eq!(intake.gone(), Vec::new());
+    assert_eq!(handler.disconnected(), Vec::new());
 }
 
-/// Guards against an HTTP/1.0 caller, whose answers end with the connection, that takes a
-/// broken answer for a complete one. Only a reset tells them apart.
+/// Guards against an HTTP/1.0 caller taking an aborted response for a complete one. Without
+/// chunked encoding the end of the connection ends the body, so only a reset tells them
+/// apart.
 #[test]
-fn aborted_answer_resets_an_old_caller() {
+fn aborted_response_resets_http_1_0_connection() {
     let fixture = Fixture::start(ServerSettings::default());
     let mut client = fixture.connect();
     client.send("GET /x HTTP/1.0\r\n\r\n");
-    let mut responder = fixture.next().responder;
+    let mut responder = fixture.next_request().responder;
     responder.head(200, &[]).expect("the caller waits");
     responder.chunk(b"first").expect("the caller waits");
     responder.abort();
     let mut rest = Vec::new();
     let outcome = std::io::Read::read_to_end(&mut client.stream, &mut rest);
     let kind = outcome
-        .expect_err("the end looks like a complete answer")
+        .expect_err("the end looks like a complete response")
         .kind();
     assert_eq!(kind, std::io::ErrorKind::ConnectionReset);
 }
 
-/// Guards against a responder that is dropped unanswered and leaves the caller waiting.
+/// Guards against a caller that waits forever because the responder was dropped without a
+/// response.
 #[test]
 fn dropped_responder_closes_the_connection() {
     let fixture = Fixture::start(ServerSettings::default());
     let mut client = fixture.connect();
     client.send(get("/x", ""));
-    drop(fixture.next());
+    drop(fixture.next_request());
     assert!(client.is_closed());
 }
 
-/// Guards against calls that go on for a caller that has left, and against a second
-/// notice for the same request.
+/// Guards against calls that continue after their caller has disconnected, and against
+/// reporting the same disconnect twice.
 #[test]
-fn leaving_caller_is_reported_once() {
+fn disconnect_is_reported_once() {
     let fixture = Fixture::start(ServerSettings::default());
     let mut client = fixture.connect();
     client.send(get("/x", ""));
-    let waiting = fixture.next();
+    let waiting = fixture.next_request();
     drop(client);
-    wait_until("a notice", || fixture.intake.gone() == [waiting.id]);
+    wait_until("a disconnect is reported", || {
+        fixture.handler.disconnected() == [waiting.id]
+    });
     let mut client = fixture.connect();
     client.send(get("/y", ""));
-    let mut streaming = fixture.next();
+    let mut streaming = fixture.next_request();
     streaming
         .responder
         .head(200, &[])
@@ -125,87 +129,92 @@
         .expect("the caller waits");
     drop(client);
     let both = [waiting.id, streaming.id];
-    wait_until("a second notice", || fixture.intake.gone() == both);
+    wait_until("a second disconnect is reported", || {
+        fixture.handler.disconnected() == both
+    });
     assert!(streaming.responder.chunk(b"x").is_err());
-    let intake = fixture.intake.clone();
+    let handler = fixture.handler.clone();
     fixture.server.close();
     drop(waiting);
     drop(streaming);
-    assert_eq!(intake.gone(), both);
+    assert_eq!(handler.disconnected(), both);
 }
 
-/// Guards against a notice for an answer that ended, which would cancel nothing or, worse,
-/// be counted as a cut.
+/// Guards against reporting a disconnect after a complete response. There is nothing left to
+/// cancel, and it could be counted as an interrupted call.
 #[test]
-fn complete_answer_is_never_reported() {
+fn disconnect_after_complete_response_is_not_reported() {
     let fixture = Fixture::start(ServerSettings::default());
     for path in ["/whole", "/head"] {
         let mut client = fixture.connect();
         let method = if path == "/head" { "HEAD" } else { "GET" };
         client.send(format!("{method} {path} HTTP/1.1\r\nhost: x\r\n\r\n"));
-        let mut responder = fixture.next().responder;
+        let mut responder = fixture.next_request().responder;
         let head = headers(&[("content-length", "4")]);
         responder.head(200, &head).expect("the caller waits");
-        let answer = match method {
-            "HEAD" => client.answer_to(method).expect("an answer"),
+        let response = match method {
+            "HEAD" => client.read_response_to(method).expect("a response"),
             _ => {
                 responder.chunk(b"body").expect("the caller waits");
-                client.answer_to(method).expect("an answer")
+                client.read_response_to(method).expect("a response")
             }
         };
-        assert_eq!(answer.header("content-length"), Some("4"));
+        assert_eq!(response.header("content-length"), Some("4"));
         responder.close();
         drop(client);
     }
-    let intake = fixture.intake.clone();
+    let handler = fixture.handler.clone();
     wait_until("the connections end", || fixture.server.connections() == 0);
     fixture.server.close();
-    assert_eq!(intake.gone(), Vec::new());
+    assert_eq!(handler.disconnected(), Vec::new());
 }
 
-/// Guards against a caller that stops reading and holds the endpoint's thread for ever.
+/// Guards against a caller that stops reading and blocks the responder's thread forever.
 #[test]
-fn caller_that_stops_reading_is_cut() {
+fn caller_that_stops_reading_is_disconnected() {
     let fixture = Fixture::start(ServerSettings {
         write_timeout_ms: 50,
         ..ServerSettings::default()
     });
     let mut client = fixture.connect();
     client.send(get("/x", ""));
-    let mut request = fixture.next();
+    let mut request = fixture.next_request();
     request.responder.head(200, &[]).expect("the caller waits");
-    let piece = vec![b'x'; 1 << 20];
+    let chunk = vec![b'x'; 1 << 20];
     let (sender, ended) = channel();
     let id = request.id;
     std::thread::spawn(move || {
-        while request.responder.chunk(&piece).is_ok() {}
+        while request.responder.chunk(&chunk).is_ok() {}
         sender.send(())
     });
-    ended.recv_timeout(LIMIT).expect("the responder closes");
-    wait_until("a notice", || fixture.intake.gone() == [id]);
+    ended.recv_timeout(TIMEOUT).expect("the responder closes");
+    wait_until("a disconnect is reported", || {
+        fixture.handler.disconnected() == [id]
+    });
     drop(client);
 }
 
-/// Keeps the responder, and writes to it while the notice is being given.
-struct WritingIntake {
+/// Stores the responder and uses it from within `caller_gone`, to check that the response
+/// channel is still open at that time.
+struct WritingHandler {
     responder: Mutex<Option<Responder>>,
     head_first: bool,
     submitted: Mutex<Sender<()>>,
     outcome: Mutex<Sender<Result<(), ResponderClosed>>>,
 }
 
-impl WritingIntake {
+impl WritingHandler {
     fn start(head_first: bool) -> (CallerServer, Receiver<()>, Outcomes) {
         let (submitted, requests) = channel();
         let (outcome, outcomes) = channel();
-        let intake = Arc::new(WritingIntake {
+        let handler = Arc::new(WritingHandler {
             responder: Mutex::new(None),
             head_first,
             submitted: Mutex::new(submitted),
             outcome: Mutex::new(outcome),
         });
         let address = "127.0.0.1:0".parse().expect("an address");
-        let server = CallerServer::start(address, ServerSettings::default(), intake)
+        let server = CallerServer::start(address, ServerSettings::default(), handler)
             .expect("the server starts");
         (server, requests, outcomes)
     }
@@ -213,7 +222,7 @@
 
 type Outcomes = Receiver<Result<(), ResponderClosed>>;
 
-impl RequestHandler for WritingIntake {
+impl RequestHandler for WritingHandler {
     fn submit(&self, request: IncomingRequest) {
         let mut responder = request.responder;
         if self.head_first {
@@ -239,36 +248,42 @@
     }
 }
 
-/// Guards against a channel that closes before the notice is given: a responder on another
-/// thread then sees the closed channel first, is dropped, and the notice is lost.
+/// Guards against closing the response channel before the disconnect is reported: a
+/// responder on another thread could see the closed channel first and be dropped, and the
+/// disconnect would never be reported.
 #[test_case(false; "before the head")]
 #[test_case(true; "in the body")]
-fn notice_comes_before_the_channel_closes(head_first: bool) {
-    let (server, requests, outcomes) = WritingIntake::start(head_first);
+fn disconnect_is_reported_before_channel_closes(head_first: bool) {
+    let (server, requests, outcomes) = WritingHandler::start(head_first);
     let mut client = Client::connect(server.address());
     client.send(get("/x", ""));
-    requests.recv_timeout(LIMIT).expect("a request");
+    requests.recv_timeout(TIMEOUT).expect("a request");
     drop(client);
-    assert_eq!(outcomes.recv_timeout(LIMIT).expect("a notice"), Ok(()));
+    assert_eq!(
+        outcomes
+            .recv_timeout(TIMEOUT)
+            .expect("a disconnect is reported"),
+        Ok(())
+    );
     server.close();
 }
 
-/// Guards against async tasks that block or lose a piece when the caller reads slowly.
+/// Guards against `try_chunk` blocking or losing a chunk when the caller reads slowly.
 #[test]
-fn full_queue_takes_no_more_pieces() {
+fn try_chunk_reports_a_full_queue() {
     let fixture = Fixture::start(ServerSettings::default());
     let mut client = fixture.connect();
     client.send(get("/x", ""));
-    let mut responder = fixture.next().responder;
+    let mut responder = fixture.next_request().responder;
     responder.head(200, &[]).expect("the caller waits");
-    let piece = vec![b'x'; 1 << 20];
+    let chunk = vec![b'x'; 1 << 20];
     let mut taken = 0;
-    while responder.try_chunk(&piece) == Ok(true) {
+    while responder.try_chunk(&chunk) == Ok(true) {
         taken += 1;
     }
-    assert_eq!(responder.try_chunk(&piece), Ok(false));
+    assert_eq!(responder.try_chunk(&chunk), Ok(false));
     responder.close();
-    let answer = client.answer().expect("an answer");
-    assert!(answer.complete);
-    assert_eq!(answer.body.len(), taken << 20);
+    let response = client.read_response().expect("a response");
+    assert!(response.complete);
+    assert_eq!(response.body.len(), taken << 20);
 }
--- a/crates/server/tests/stop.rs
+++ b/crates/server/tests/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts no request.
+//! Graceful shutdown of the server for callers, and its limit on connections.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use std::sync::{Arc, RwLock};
 
 use jayreel_server::{IncomingRequest, ServerSettings};
-use support::{Client, Fixture, LIMIT, get, wait_until};
+use support::{Client, Fixture, TIMEOUT, get, wait_until};
 
 fn settings() -> ServerSettings {
     ServerSettings {
@@ -18,40 +18,40 @@
     }
 }
 
-/// Settings under which no caller of a test can be slow enough to count as idle.
-fn patient() -> ServerSettings {
+/// Settings with an idle timeout that no caller of a test exceeds, even on a slow machine.
+fn long_idle_timeout() -> ServerSettings {
     ServerSettings {
         closing_idle_timeout_ms: 20_000,
         ..ServerSettings::default()
     }
 }
 
-/// Guards against a load balancer that is not told of the stop or of a missing
-/// configuration, and against probes that need the intake.
+/// Guards against a load balancer that does not learn from `/readyz` that the instance is
+/// stopping or not ready, and against health probes that are passed to the handler.
 #[test]
-fn probes_tell_readiness() {
+fn readiness_probe_reflects_state() {
     let fixture = Fixture::start(settings());
     let status = |path: &str| {
         let mut client = fixture.connect();
         client.send(get(path, ""));
-        client.answer().expect("an answer").status
+        client.read_response().expect("a response").status
     };
     assert_eq!((status("/healthz"), status("/readyz")), (200, 200));
-    fixture.intake.set_ready(false);
+    fixture.handler.set_ready(false);
     assert_eq!((status("/healthz"), status("/readyz")), (200, 503));
-    fixture.intake.set_ready(true);
+    fixture.handler.set_ready(true);
     fixture.server.start_drain();
     assert_eq!((status("/healthz"), status("/readyz")), (200, 503));
 }
 
-/// Guards against callers that keep their connections during a stop: the answer must ask
-/// them to close, and a request under way must still be answered.
+/// Guards against callers that keep their connections open during a shutdown: a request in
+/// progress must get a complete response, which asks the caller to close the connection.
 #[test]
-fn drain_answers_and_closes() {
-    let fixture = Fixture::start(patient());
+fn request_in_progress_completes_during_drain() {
+    let fixture = Fixture::start(long_idle_timeout());
     let mut client = fixture.connect();
     client.send(get("/x", ""));
-    let mut responder = fixture.next().responder;
+    let mut responder = fixture.next_request().responder;
     fixture.server.start_drain();
     fixture.server.stop_accepting();
     assert!(
@@ -62,60 +62,61 @@
     responder.head(200, &[]).expect("the caller waits");
     responder.chunk(b"late").expect("the caller waits");
     responder.close();
-    let answer = client.answer().expect("an answer");
-    assert_eq!(answer.header("connection"), Some("close"));
-    assert!(answer.complete && answer.text() == "late");
+    let response = client.read_response().expect("a response");
+    assert_eq!(response.header("connection"), Some("close"));
+    assert!(response.complete && response.text() == "late");
     assert!(client.is_closed());
-    assert!(fixture.server.wait_idle(Some(LIMIT)));
+    assert!(fixture.server.wait_idle(Some(TIMEOUT)));
     assert_eq!(fixture.server.close(), 0);
 }
 
-/// Guards against connections in the kernel's queue that are reset when the listener
-/// closes.
+/// Guards against resetting the connections in the kernel's accept queue when the listening
+/// socket is closed.
 #[test]
-fn queued_connections_are_answered() {
-    let fixture = Fixture::start(patient());
+fn queued_connections_are_served() {
+    let fixture = Fixture::start(long_idle_timeout());
     let mut clients: Vec<Client> = (0..50).map(|_| fixture.connect()).collect();
     fixture.server.stop_accepting();
     let address = fixture.server.address();
-    let (server, intake, requests) = fixture.split();
-    let answering = std::thread::spawn(move || answer_all(&requests));
+    let (server, handler, requests) = fixture.into_parts();
+    let responding = std::thread::spawn(move || respond_to_all(&requests));
     for client in &mut clients {
         client.send(get("/x", ""));
     }
     for client in &mut clients {
-        let answer = client.answer().expect("an answer");
-        assert!(answer.complete && answer.text() == "done");
+        let response = client.read_response().expect("a response");
+        assert!(response.complete && response.text() == "done");
     }
     std::net::TcpStream::connect(address).expect_err("the listener is open");
-    assert!(server.wait_idle(Some(LIMIT)));
+    assert!(server.wait_idle(Some(TIMEOUT)));
     assert_eq!(server.close(), 0);
-    drop(intake);
-    answering.join().expect("no panic");
+    drop(handler);
+    responding.join().expect("no panic");
 }
 
-/// Guards against idle connections that hold up a stop until their callers close them.
+/// Guards against a shutdown that waits for callers to close their idle connections.
 #[test]
-fn idle_connections_end_early() {
+fn idle_connections_are_closed_early() {
     let fixture = Fixture::start(settings());
     let mut clients: Vec<Client> = (0..20).map(|_| fixture.connect()).collect();
     wait_until("all accepted", || fixture.server.connections() == 20);
     fixture.server.start_drain();
     fixture.server.stop_accepting();
     assert!(clients.iter_mut().all(Client::is_closed));
-    assert!(fixture.server.wait_idle(Some(LIMIT)));
+    assert!(fixture.server.wait_idle(Some(TIMEOUT)));
     assert_eq!(fixture.server.close(), 0);
 }
 
-/// Guards against any request that is cut by a stop under load. Callers follow the
-/// readiness probe for new connections, as a load balancer does.
+/// Guards against requests that are interrupted by a shutdown under load. Callers open no new
+/// connections after the drain has started, as behind a load balancer that follows the
+/// readiness probe.
 #[test]
-fn stop_under_load_cuts_nothing() {
+fn shutdown_under_load_interrupts_no_request() {
     for _ in 0..10 {
-        let fixture = Fixture::start(patient());
+        let fixture = Fixture::start(long_idle_timeout());
         let address = fixture.server.address();
-        let (server, intake, requests) = fixture.split();
-        let answering = std::thread::spawn(move || answer_all(&requests));
+        let (server, handler, requests) = fixture.into_parts();
+        let responding = std::thread::spawn(move || respond_to_all(&requests));
         let stopping = Arc::new(RwLock::new(false));
         let complete = Arc::new(AtomicUsize::new(0));
         let callers: Vec<_> = (0..16)
@@ -134,40 +135,42 @@
         *stopping.write().expect("no panic") = true;
         let before = complete.load(Ordering::SeqCst);
         server.stop_accepting();
-        assert!(server.wait_idle(Some(LIMIT)));
+        assert!(server.wait_idle(Some(TIMEOUT)));
         assert_eq!(server.close(), 0);
         for caller in callers {
-            caller.join().expect("a request was cut");
+            caller.join().expect("the request is not interrupted");
         }
         assert!(complete.load(Ordering::SeqCst) >= before);
-        assert_eq!(intake.gone(), Vec::new());
-        drop(intake);
-        answering.join().expect("no panic");
+        assert_eq!(handler.disconnected(), Vec::new());
+        drop(handler);
+        responding.join().expect("no panic");
     }
 }
 
-/// Opens a connection unless the instance is stopping. The lock keeps a connection that
-/// is being opened from arriving after the listener is closed.
+/// Opens a connection unless the server is stopping. Holding the read lock makes the test
+/// wait for it before it closes the listening socket.
 fn connect(address: SocketAddr, stopping: &RwLock<bool>) -> Option<Client> {
     let stopping = stopping.read().expect("no panic");
     (!*stopping).then(|| Client::connect(address))
 }
 
-/// Sends requests on one connection until an answer asks to close it.
+/// Sends requests on one connection until a response has `Connection: close`.
 fn call_until_closed(client: &mut Client, complete: &AtomicUsize) {
     loop {
         client.send(get("/x", ""));
-        let answer = client.answer().expect("a request was cut");
-        assert!(answer.complete && answer.text() == "done");
+        let response = client
+            .read_response()
+            .expect("the request is not interrupted");
+        assert!(response.complete && response.text() == "done");
         complete.fetch_add(1, Ordering::SeqCst);
-        if answer.header("connection") == Some("close") {
+        if response.header("connection") == Some("close") {
             return;
         }
     }
 }
 
-fn answer_all(requests: &Receiver<IncomingRequest>) {
-    while let Ok(mut request) = requests.recv_timeout(LIMIT) {
+fn respond_to_all(requests: &Receiver<IncomingRequest>) {
+    while let Ok(mut request) = requests.recv_timeout(TIMEOUT) {
         let _ = request.responder.head(200, &[]);
         let _ = request.responder.chunk(b"do");
         let _ = request.responder.chunk(b"ne");
@@ -175,8 +178,8 @@
     }
 }
 
-/// Guards against more open connections than the limit. Those beyond it wait in the
-/// kernel until another one ends.
+/// Guards against exceeding the limit on open connections. Further connections must wait in
+/// the kernel's accept queue until another one ends.
 #[test]
 fn connections_are_limited() {
     let fixture = Fixture::start(ServerSettings {
@@ -190,13 +193,13 @@
     third.send(get("/third", ""));
     for _ in 0..20 {
         first.send(get("/healthz", ""));
-        assert_eq!(first.answer().expect("an answer").status, 200);
+        assert_eq!(first.read_response().expect("a response").status, 200);
     }
     assert!(
-        fixture.has_request().is_none(),
+        fixture.try_next_request().is_none(),
         "the third one was accepted"
     );
     assert_eq!(fixture.server.connections(), 2);
     drop(second);
-    assert_eq!(fixture.next().path, "/third");
+    assert_eq!(fixture.next_request().path, "/third");
 }
--- a/crates/server/tests/support/mod.rs
+++ b/crates/server/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! An intake that records, and a client that writes raw bytes.
+//! A handler that records requests, and an HTTP client that can send arbitrary bytes.
 
 #![allow(dead_code)]
 
@@ -12,19 +12,19 @@
 use jayreel_model::RequestId;
 use jayreel_server::{CallerServer, IncomingRequest, RequestHandler, ServerSettings};
 
-/// Far above any wait in a test that passes.
-pub const LIMIT: Duration = Duration::from_secs(30);
+/// Timeout for every wait in a test. Far longer than any wait in a test that passes.
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Records what the server reports.
-pub struct TestIntake {
+/// Passes requests on to the test and records disconnected callers.
+pub struct RecordingHandler {
     requests: Mutex<Sender<IncomingRequest>>,
-    gone: Mutex<Vec<RequestId>>,
+    disconnected: Mutex<Vec<RequestId>>,
     ready: AtomicBool,
 }
 
-impl TestIntake {
-    pub fn gone(&self) -> Vec<RequestId> {
-        self.gone
+impl RecordingHandler {
+    pub fn disconnected(&self) -> Vec<RequestId> {
+        self.disconnected
             .lock()
             .expect("no test panics with this lock")
             .clone()
@@ -35,14 +35,14 @@
     }
 }
 
-impl RequestHandler for TestIntake {
+impl RequestHandler for RecordingHandler {
     fn submit(&self, request: IncomingRequest) {
         let requests = self.requests.lock().expect("no test panics with this lock");
         let _ = requests.send(request);
     }
 
     fn caller_gone(&self, id: RequestId) {
-        self.gone
+        self.disconnected
             .lock()
             .expect("no test panics with this lock")
             .push(id);
@@ -53,27 +53,27 @@
     }
 }
 
-/// A server with its recording intake.
+/// A server for callers with a recording handler.
 pub struct Fixture {
     pub server: CallerServer,
-    pub intake: Arc<TestIntake>,
+    pub handler: Arc<RecordingHandler>,
     requests: Receiver<IncomingRequest>,
 }
 
 impl Fixture {
     pub fn start(settings: ServerSettings) -> Fixture {
         let (sender, requests) = channel();
-        let intake = Arc::new(TestIntake {
+        let handler = Arc::new(RecordingHandler {
             requests: Mutex::new(sender),
-            gone: Mutex::new(Vec::new()),
+            disconnected: Mutex::new(Vec::new()),
             ready: AtomicBool::new(true),
         });
         let address = "127.0.0.1:0".parse().expect("an address");
-        let server = CallerServer::start(address, settings, intake.clone())
+        let server = CallerServer::start(address, settings, handler.clone())
             .expect("the server starts");
         Fixture {
             server,
-            intake,
+            handler,
             requests,
         }
     }
@@ -82,49 +82,55 @@
         Client::connect(self.server.address())
     }
 
-    /// The next request that reached the intake.
-    pub fn next(&self) -> IncomingRequest {
+    /// Waits for the next request that reaches the handler.
+    pub fn next_request(&self) -> IncomingRequest {
         self.requests
-            .recv_timeout(LIMIT)
-            .expect("a request reaches the intake")
+            .recv_timeout(TIMEOUT)
+            .expect("a request reaches the handler")
     }
 
-    pub fn has_request(&self) -> Option<IncomingRequest> {
+    pub fn try_next_request(&self) -> Option<IncomingRequest> {
         self.requests.try_recv().ok()
     }
 
-    /// Takes the receiver, for a thread that answers requests.
-    pub fn split(self) -> (CallerServer, Arc<TestIntake>, Receiver<IncomingRequest>) {
-        (self.server, self.intake, self.requests)
+    /// Splits the fixture, so that another thread can receive and handle the requests.
+    pub fn into_parts(
+        self,
+    ) -> (
+        CallerServer,
+        Arc<RecordingHandler>,
+        Receiver<IncomingRequest>,
+    ) {
+        (self.server, self.handler, self.requests)
     }
 }
 
-/// Waits until the condition holds.
+/// Polls until the condition holds. `what` names the condition in the panic message.
 pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < LIMIT, "never happened: {what}");
+        assert!(start.elapsed() < TIMEOUT, "never happened: {what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// One connection to a server under test.
+/// A connection to a server under test.
 pub struct Client {
     pub stream: TcpStream,
-    pending: Vec<u8>,
+    buffered: Vec<u8>,
 }
 
-/// One answer.
+/// A response as the client received it.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub head: String,
     pub body: Vec<u8>,
-    /// Whether the body ended as its framing says.
+    /// Whether all bytes arrived that `Content-Length` or the chunked encoding announce.
     pub complete: bool,
 }
 
-impl Answer {
+impl Response {
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
@@ -141,14 +147,14 @@
     pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).expect("the listener accepts");
         stream
-            .set_read_timeout(Some(LIMIT))
+            .set_read_timeout(Some(TIMEOUT))
             .expect("a deadline is set");
         stream
-            .set_write_timeout(Some(LIMIT))
+            .set_write_timeout(Some(TIMEOUT))
             .expect("a deadline is set");
         Client {
             stream,
-            pending: Vec::new(),
+            buffered: Vec::new(),
         }
     }
 
@@ -158,13 +164,13 @@
             .expect("the server reads");
     }
 
-    /// Reads more input. Returns false at the end of the connection.
-    fn fill(&mut self) -> bool {
-        let mut piece = [0; 4096];
-        match self.stream.read(&mut piece) {
+    /// Reads more input into the buffer. Returns false at the end of the connection.
+    fn read_more(&mut self) -> bool {
+        let mut chunk = [0; 4096];
+        match self.stream.read(&mut chunk) {
             Ok(0) => false,
             Ok(count) => {
-                self.pending.extend_from_slice(&piece[..count]);
+                self.buffered.extend_from_slice(&chunk[..count]);
                 true
             }
             Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => false,
@@ -172,36 +178,38 @@
         }
     }
 
-    fn line(&mut self) -> Option<String> {
+    fn read_line(&mut self) -> Option<String> {
         loop {
-            if let Some(end) = self.pending.windows(2).position(|two| two == b"\r\n") {
-                let line = self.pending.drain(..end + 2).collect::<Vec<u8>>();
+            if let Some(end) = self.buffered.windows(2).position(|two| two == b"\r\n") {
+                let line = self.buffered.drain(..end + 2).collect::<Vec<u8>>();
                 return Some(String::from_utf8_lossy(&line[..end]).into_owned());
             }
-            if !self.fill() {
+            if !self.read_more() {
                 return None;
             }
         }
     }
 
-    fn take(&mut self, count: usize) -> (Vec<u8>, bool) {
-        while self.pending.len() < count {
-            if !self.fill() {
-                return (std::mem::take(&mut self.pending), false);
+    /// Takes `count` bytes. Returns fewer, and false, if the connection ends before.
+    fn read_exact(&mut self, count: usize) -> (Vec<u8>, bool) {
+        while self.buffered.len() < count {
+            if !self.read_more() {
+                return (std::mem::take(&mut self.buffered), false);
             }
         }
-        (self.pending.drain(..count).collect(), true)
+        (self.buffered.drain(..count).collect(), true)
     }
 
-    /// Reads one answer, or `None` if the connection ends before its head.
-    pub fn answer(&mut self) -> Option<Answer> {
-        self.answer_to("GET")
+    /// Reads the response to a request other than HEAD. Returns `None` if the connection ends
+    /// before the end of its head.
+    pub fn read_response(&mut self) -> Option<Response> {
+        self.read_response_to("GET")
     }
 
-    pub fn answer_to(&mut self, method: &str) -> Option<Answer> {
-        let mut head = self.line()?;
+    pub fn read_response_to(&mut self, method: &str) -> Option<Response> {
+        let mut head = self.read_line()?;
         loop {
-            let line = self.line()?;
+            let line = self.read_line()?;
             if line.is_empty() {
                 break;
             }
@@ -209,37 +217,38 @@
             head.push_str(&line);
         }
         let status = head.split(' ').nth(1)?.parse().ok()?;
-        let mut answer = Answer {
+        let mut response = Response {
             status,
             head,
             body: Vec::new(),
             complete: true,
         };
-        let length = answer.header("content-length").map(str::to_string);
+        let length = response.header("content-length").map(str::to_string);
         match length {
             _ if method == "HEAD" || status == 304 => {}
             Some(length) => {
                 let length = length.parse().expect("a length");
-                (answer.body, answer.complete) = self.take(length);
+                (response.body, response.complete) = self.read_exact(length);
             }
-            None if answer.header("transfer-encoding").is_some() => {
-                answer.complete = self.chunks(&mut answer.body);
+            None if response.header("transfer-encoding").is_some() => {
+                response.complete = self.read_chunks(&mut response.body);
             }
             None => {
-                while self.fill() {}
-                answer.body = std::mem::take(&mut self.pending);
+                while self.read_more() {}
+                response.body = std::mem::take(&mut self.buffered);
             }
         }
-        Some(answer)
+        Some(response)
     }
 
-    fn chunks(&mut self, body: &mut Vec<u8>) -> bool {
+    /// Decodes a chunked body. Returns false if the connection ends before the last chunk.
+    fn read_chunks(&mut self, body: &mut Vec<u8>) -> bool {
         loop {
-            let Some(size) = self.line() else {
+            let Some(size) = self.read_line() else {
                 return false;
             };
             let size = usize::from_str_radix(&size, 16).expect("a chunk size");
-            let (bytes, whole) = self.take(size + 2);
+            let (bytes, whole) = self.read_exact(size + 2);
             body.extend_from_slice(&bytes[..bytes.len().min(size)]);
             if size == 0 || !whole {
                 return whole;
@@ -247,13 +256,13 @@
         }
     }
 
-    /// Whether the server closed the connection without sending more.
+    /// Waits for more input and returns whether the server closed the connection instead.
     pub fn is_closed(&mut self) -> bool {
-        self.pending.is_empty() && !self.fill()
+        self.buffered.is_empty() && !self.read_more()
     }
 }
 
-/// The bytes of a request with a body.
+/// Encodes a POST request. Each line of `headers` must end with CRLF.
 pub fn post(path: &str, headers: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -261,10 +270,10 @@
     )
 }
 
-/// The bytes of a request without a body.
+/// Encodes a GET request. Each line of `headers` must end with CRLF.
 pub fn get(path: &str, headers: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nhost: x\r\n{headers}\r\n")
 }
 
-/// A well-formed chat request.
+/// The body of a valid chat request.
 pub const CHAT: &str = r#"{"model":"m","messages":[{"role":"user","content":"hi"}]}"#;
