--- a/crates/core/src/admin/confirm.rs
+++ b/crates/core/src/admin/confirm.rs
@@ -1,4 +1,4 @@
-//! Waits until all instances have a change in force, and tells which have not.
+//! Waits until all instances have applied a change, and reports those that have not.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -10,34 +10,35 @@
 use jayreel_store::Accepted;
 use serde_json::json;
 
-use crate::admin::{AdminApi, answer};
+use crate::admin::{AdminApi, json_response};
 use crate::shell::{ShellEvent, StatusReport};
 
-/// How long an operator waits for all instances to confirm a change.
+/// Maximum time that the response to a change is delayed until all instances confirm it.
 const CONFIRM_LIMIT: Duration = Duration::from_secs(5);
 
-/// Time between two looks at the confirmations.
-const CONFIRM_CHECK: Duration = Duration::from_millis(50);
+/// Time between two checks of the confirmations.
+const CONFIRM_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between two messages of a withdrawal to an instance that has not confirmed it. A
-/// message on a connection that went silent is lost, and the connection is replaced only
-/// after the deadline of a peer call, 2 s.
+/// Time between two messages about a withdrawal to an instance that has not confirmed it. A
+/// message on a dead connection is lost, and the connection is replaced only after the
+/// timeout of a peer call, 2 s.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long the reducer may take to report its state.
+/// Maximum time for the reducer to report its state.
 const STATUS_LIMIT: Duration = Duration::from_secs(2);
 
-/// A change is accepted, but some instances have not confirmed it.
+/// HTTP status for a change that was accepted but that some instances have not confirmed.
 pub(super) const STATUS_UNCONFIRMED: u16 = 202;
 
 impl AdminApi {
-    /// The answer to an accepted change, after waiting for all instances.
+    /// Waits until all instances confirm an accepted change, and returns the response.
+    /// `status` is the HTTP status if all of them do.
     pub(super) fn confirm(&self, status: u16, accepted: Accepted) -> AdminResponse {
         self.confirm_change(status, accepted, None)
     }
 
-    /// Like [`AdminApi::confirm`]; meanwhile the withdrawal is repeated to instances
-    /// that have not confirmed it.
+    /// Like [`AdminApi::confirm`], but also repeats the withdrawal to instances that have not
+    /// confirmed it.
     pub(super) fn confirm_withdrawal(
         &self,
         accepted: Accepted,
@@ -52,7 +53,8 @@
         accepted: Accepted,
         withdrawn: Option<KeyHash>,
     ) -> AdminResponse {
-        let (unconfirmed, until_s) = self.unconfirmed(accepted.revision, withdrawn);
+        let (unconfirmed, may_continue_s) =
+            self.unconfirmed(accepted.revision, withdrawn);
         let status = if unconfirmed.is_empty() {
             status
         } else {
@@ -62,33 +64,34 @@
             "version": accepted.revision,
             "changed": accepted.changed,
             "unconfirmed": unconfirmed,
-            "unconfirmed_may_continue_s": until_s,
+            "unconfirmed_may_continue_s": may_continue_s,
         });
-        answer(status, Some(accepted.revision), &body)
+        json_response(status, Some(accepted.revision), &body)
     }
 
-    /// Waits until all known instances have the revision, and repeats a withdrawal to those
-    /// that do not. Returns those that still do not after the limit.
+    /// Waits until all known instances have the configuration at `revision`, and repeats a
+    /// withdrawal to those that do not. Returns the names of those that still do not after
+    /// [`CONFIRM_LIMIT`], and for how many seconds they may continue without the change.
     pub(super) fn unconfirmed(
         &self,
         revision: u64,
         withdrawn: Option<KeyHash>,
     ) -> (Vec<String>, Option<u64>) {
         let deadline = Instant::now() + CONFIRM_LIMIT;
-        let mut repeated_at = Instant::now();
+        let mut last_repeat = Instant::now();
         loop {
-            let behind = self.behind(revision);
+            let behind = self.instances_behind(revision);
             if behind.is_empty() {
                 return (behind, None);
             }
             if Instant::now() >= deadline {
                 return (behind, Some(self.offline_grace_s));
             }
-            if repeated_at.elapsed() >= REPEAT_INTERVAL {
-                repeated_at = Instant::now();
+            if last_repeat.elapsed() >= REPEAT_INTERVAL {
+                last_repeat = Instant::now();
                 self.repeat_withdrawal(&behind, withdrawn);
             }
-            thread::sleep(CONFIRM_CHECK);
+            thread::sleep(CONFIRM_POLL_INTERVAL);
         }
     }
 
@@ -99,7 +102,9 @@
         }
     }
 
-    fn behind(&self, revision: u64) -> Vec<String> {
+    /// The names of instances whose configuration is older than `revision`. Peers that are
+    /// shutting down are left out. Names only this instance if its state is not available.
+    fn instances_behind(&self, revision: u64) -> Vec<String> {
         let Some(status) = self.status() else {
             return vec!["this instance".to_string()];
         };
@@ -113,13 +118,15 @@
         own.into_iter().chain(peers).collect()
     }
 
+    /// The state of the reducer, or `None` if it does not respond within [`STATUS_LIMIT`].
     pub(super) fn status(&self) -> Option<StatusReport> {
-        let (reply, answer) = bounded(1);
+        let (reply, response) = bounded(1);
         self.events.send(ShellEvent::Status(reply)).ok()?;
-        answer.recv_timeout(STATUS_LIMIT).ok()
+        response.recv_timeout(STATUS_LIMIT).ok()
     }
 
-    pub(super) fn withdraw_ahead(&self, hash: KeyHash) {
+    /// Withdraws a key here and at all peers, without waiting for the store.
+    pub(super) fn withdraw_before_store(&self, hash: KeyHash) {
         self.feed.withdraw(hash);
         let peers = self.status().map(|status| status.fleet.peers);
         for peer in peers.unwrap_or_default() {
@@ -133,6 +140,7 @@
     }
 }
 
+/// The instance name in an incarnation, which has the form `INSTANCE.NUMBER`.
 fn instance_name(incarnation: &str) -> &str {
     incarnation
         .rsplit_once('.')
--- a/crates/core/src/admin/mod.rs
+++ b/crates/core/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The administration API over the configuration in the store.
+//! Implements the administration API on the configuration in the store.
 
 mod confirm;
 
@@ -24,7 +24,7 @@
 use crate::peer_link::PeerSender;
 use crate::shell::ShellEvent;
 
-/// Serves operators.
+/// Handles the requests of operators.
 pub(crate) struct AdminApi {
     editor: ConfigurationEditor,
     store: Arc<dyn Store>,
@@ -35,7 +35,8 @@
 }
 
 impl AdminApi {
-    /// An API over `store`.
+    /// Creates the API on `store`. `offline_grace_s` is reported to operators as the time for
+    /// which an instance that has not confirmed a change may continue without it.
     pub(crate) fn new(
         store: Arc<dyn Store>,
         feed: Arc<ConfigurationFeed>,
@@ -56,11 +57,11 @@
 
     fn list(&self, resource: AdminResource) -> Result<AdminResponse, AdminError> {
         match resource {
-            AdminResource::Customers => self.list_of::<Customer>(),
-            AdminResource::Endpoints => self.list_of::<Endpoint>(),
-            AdminResource::Keys => self.list_of::<CustomerKey>(),
-            AdminResource::Profiles => self.list_of::<Profile>(),
-            AdminResource::Routes => self.list_of::<Route>(),
+            AdminResource::Customers => self.list_records::<Customer>(),
+            AdminResource::Endpoints => self.list_records::<Endpoint>(),
+            AdminResource::Keys => self.list_records::<CustomerKey>(),
+            AdminResource::Profiles => self.list_records::<Profile>(),
+            AdminResource::Routes => self.list_records::<Route>(),
         }
     }
 
@@ -70,11 +71,11 @@
         name: &str,
     ) -> Result<AdminResponse, AdminError> {
         match resource {
-            AdminResource::Customers => self.get_one::<Customer>(name),
-            AdminResource::Endpoints => self.get_one::<Endpoint>(name),
-            AdminResource::Keys => self.get_one::<CustomerKey>(name),
-            AdminResource::Profiles => self.get_one::<Profile>(name),
-            AdminResource::Routes => self.get_one::<Route>(name),
+            AdminResource::Customers => self.get_record::<Customer>(name),
+            AdminResource::Endpoints => self.get_record::<Endpoint>(name),
+            AdminResource::Keys => self.get_record::<CustomerKey>(name),
+            AdminResource::Profiles => self.get_record::<Profile>(name),
+            AdminResource::Routes => self.get_record::<Route>(name),
         }
     }
 
@@ -85,14 +86,14 @@
         request: &AdminRequest,
     ) -> Result<AdminResponse, AdminError> {
         match resource {
-            AdminResource::Customers => self.put_one::<Customer>(name, request),
-            AdminResource::Endpoints => self.put_one::<Endpoint>(name, request),
+            AdminResource::Customers => self.put_record::<Customer>(name, request),
+            AdminResource::Endpoints => self.put_record::<Endpoint>(name, request),
             AdminResource::Keys => Err(AdminError::new(
                 AdminErrorKind::Invalid,
                 "keys are given with POST /admin/v1/keys and withdrawn with DELETE",
             )),
-            AdminResource::Profiles => self.put_one::<Profile>(name, request),
-            AdminResource::Routes => self.put_one::<Route>(name, request),
+            AdminResource::Profiles => self.put_record::<Profile>(name, request),
+            AdminResource::Routes => self.put_record::<Route>(name, request),
         }
     }
 
@@ -124,7 +125,10 @@
         Ok(self.confirm(200, accepted.map_err(edit_error)?))
     }
 
-    fn list_of<T: ConfigRecord + Serialize>(&self) -> Result<AdminResponse, AdminError> {
+    /// Returns all records of one kind with their names and versions.
+    fn list_records<T: ConfigRecord + Serialize>(
+        &self,
+    ) -> Result<AdminResponse, AdminError> {
         let records = self.editor.list::<T>().map_err(edit_error)?;
         let entries: Vec<Value> = records
             .into_iter()
@@ -132,19 +136,21 @@
                 json!({ "name": name, "version": version, "record": value })
             })
             .collect();
-        Ok(answer(200, None, &Value::Array(entries)))
+        Ok(json_response(200, None, &Value::Array(entries)))
     }
 
-    fn get_one<T: ConfigRecord + Serialize>(
+    fn get_record<T: ConfigRecord + Serialize>(
         &self,
         name: &str,
     ) -> Result<AdminResponse, AdminError> {
         let Versioned { version, value } =
             self.editor.read::<T>(name).map_err(edit_error)?;
-        Ok(answer(200, Some(version), &json!(value)))
+        Ok(json_response(200, Some(version), &json!(value)))
     }
 
-    fn put_one<T: Editable>(
+    /// Creates the record with `If-None-Match: *`, or changes it with `If-Match`, and waits
+    /// until all instances confirm the change.
+    fn put_record<T: Editable>(
         &self,
         name: &str,
         request: &AdminRequest,
@@ -168,6 +174,8 @@
         }
     }
 
+    /// Creates a key for the customer named in the body. Only the response contains the key;
+    /// the store has its hash.
     fn issue_key(&self, request: &AdminRequest) -> Result<AdminResponse, AdminError> {
         let body: Value = serde_json::from_slice(&request.body).map_err(|error| {
             AdminError::new(AdminErrorKind::Invalid, format!("invalid body: {error}"))
@@ -175,12 +183,12 @@
         let customer = body["customer"].as_str().ok_or_else(|| {
             AdminError::new(AdminErrorKind::Invalid, "the body must name a customer")
         })?;
-        let given = self.editor.give_key(customer).map_err(edit_error)?;
-        let (unconfirmed, _) = self.unconfirmed(given.accepted.revision, None);
+        let issued = self.editor.give_key(customer).map_err(edit_error)?;
+        let (unconfirmed, _) = self.unconfirmed(issued.accepted.revision, None);
         let body = json!({
             "customer": customer,
-            "key": given.key,
-            "hash": given.hash.to_string(),
+            "key": issued.key,
+            "hash": issued.hash.to_string(),
             "unconfirmed": unconfirmed,
         });
         let status = if unconfirmed.is_empty() {
@@ -188,11 +196,11 @@
         } else {
             STATUS_UNCONFIRMED
         };
-        Ok(answer(status, Some(given.accepted.revision), &body))
+        Ok(json_response(status, Some(issued.accepted.revision), &body))
     }
 
-    /// Withdraws a key in the store, and at the same time here and at all peers, so that
-    /// it also ends in an availability zone without the store.
+    /// Withdraws a key in the store. First withdraws it here and at all peers directly, so
+    /// that it also becomes invalid in an availability zone that cannot reach the store.
     fn withdraw_key(&self, name: &str) -> Result<AdminResponse, AdminError> {
         let hash = KeyHash::try_from(name.to_string()).map_err(|_| {
             AdminError::new(AdminErrorKind::Invalid, "a key is named by its blake3 hash")
@@ -202,7 +210,7 @@
             .current()
             .is_some_and(|c| c.keys.contains_key(&hash));
         if known {
-            self.withdraw_ahead(hash);
+            self.withdraw_before_store(hash);
         }
         match self.editor.withdraw_key(hash) {
             Ok(accepted) => Ok(self.confirm_withdrawal(accepted, hash)),
@@ -218,13 +226,13 @@
         }
     }
 
-    /// States that a process is dead: its registration and its share go.
+    /// Removes the registration and the rate share of an instance whose process is dead.
     fn forget_instance(&self, name: &str) -> Result<AdminResponse, AdminError> {
         self.delete_registration(name)?;
         let result = home_record::<HomeRecord>(&self.store)
             .update(|record| record.and_then(|record| record.forget(name)));
         match result {
-            Ok(_) => Ok(answer(200, None, &json!({ "forgotten": name }))),
+            Ok(_) => Ok(json_response(200, None, &json!({ "forgotten": name }))),
             Err(error) => Err(AdminError::new(
                 AdminErrorKind::StoreUnavailable,
                 format!("cannot free the share: {error}"),
@@ -244,13 +252,14 @@
         }
     }
 
+    /// Returns the state of the reducer: its view of the fleet, and the calls.
     fn show_status(&self) -> Result<AdminResponse, AdminError> {
         let report = self.status().ok_or_else(|| {
             AdminError::new(AdminErrorKind::Busy, "the reducer did not answer in time")
         })?;
         let mut body = serde_json::to_value(&report.fleet).unwrap_or(Value::Null);
         body["calls"] = json!(report.calls);
-        Ok(answer(200, None, &body))
+        Ok(json_response(200, None, &body))
     }
 }
 
@@ -279,7 +288,8 @@
     }
 }
 
-fn answer(status: u16, version: Option<u64>, body: &Value) -> AdminResponse {
+/// Creates a response with a JSON body. `version` is sent as `ETag`.
+fn json_response(status: u16, version: Option<u64>, body: &Value) -> AdminResponse {
     AdminResponse {
         status,
         version,
@@ -298,6 +308,7 @@
     )
 }
 
+/// Converts an error of the configuration editor.
 fn edit_error(error: EditError) -> AdminError {
     let kind = match &error {
         EditError::AlreadyExists(_) => AdminErrorKind::Conflict,
--- a/crates/core/src/args.rs
+++ b/crates/core/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line, by clap's builder.
+//! Defines the command line with clap's builder API.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use clap_complete::Shell;
 
-/// The whole command line.
+/// The `jayreel` command with all subcommands.
 pub(crate) fn command() -> Command {
     Command::new("jayreel")
         .version(env!("CARGO_PKG_VERSION"))
@@ -20,9 +20,9 @@
         )
         .subcommand_required(true)
         .arg_required_else_help(true)
-        .arg(admin_address())
-        .arg(admin_key())
-        .arg(json())
+        .arg(admin_address_option())
+        .arg(admin_key_option())
+        .arg(json_option())
         .subcommand(serve())
         .subcommand(edge())
         .subcommand(storage())
@@ -39,19 +39,19 @@
         .subcommand(Command::new("man").about("Print the man page in roff form"))
 }
 
-/// The path given with `--config`.
+/// The value of `--config`. Panics for commands without this required option.
 pub(crate) fn config_path(matches: &ArgMatches) -> &Path {
     matches
         .get_one::<PathBuf>("config")
         .expect("--config is required")
 }
 
-/// The shell given to `completions`.
+/// The shell argument of `completions`.
 pub(crate) fn shell(matches: &ArgMatches) -> Shell {
     *matches.get_one("shell").expect("the shell is required")
 }
 
-fn admin_address() -> Arg {
+fn admin_address_option() -> Arg {
     Arg::new("admin")
         .long("admin")
         .value_name("ADDRESS")
@@ -61,7 +61,7 @@
         .help("Administration listener of any instance, for operator commands")
 }
 
-fn admin_key() -> Arg {
+fn admin_key_option() -> Arg {
     Arg::new("admin-key-file")
         .long("admin-key-file")
         .value_name("FILE")
@@ -70,27 +70,27 @@
         .help("File with the operator's key; without it, JAYREEL_ADMIN_KEY is used")
 }
 
-fn json() -> Arg {
+fn json_option() -> Arg {
     Arg::new("json")
         .long("json")
         .action(ArgAction::SetTrue)
         .global(true)
-        .help("Print the answer of an operator command as JSON")
+        .help("Print the response to an operator command as JSON")
 }
 
-fn config() -> Arg {
+fn config_option() -> Arg {
     Arg::new("config")
         .long("config")
         .value_name("FILE")
         .required(true)
         .value_parser(value_parser!(PathBuf))
-        .help("Settings file in INI form")
+        .help("Settings file in INI format")
 }
 
 fn serve() -> Command {
     Command::new("serve")
         .about("Run an entry instance")
-        .arg(config())
+        .arg(config_option())
 }
 
 fn edge() -> Command {
@@ -108,7 +108,8 @@
                 .value_name("ADDRESS")
                 .value_parser(value_parser!(SocketAddr))
                 .help(
-                    "Where other instances connect; without it, where this one listens",
+                    "Address that other instances connect to; defaults to the listening \
+                     address",
                 ),
         )
         .after_help("Settings come from the file that JAYREEL_NODE_FILE names.")
@@ -117,7 +118,7 @@
 fn check() -> Command {
     Command::new("check")
         .about("Check a settings file and print each fault with section and key")
-        .arg(config())
+        .arg(config_option())
 }
 
 fn dev() -> Command {
@@ -142,22 +143,23 @@
         )
 }
 
-fn name() -> Arg {
+fn name_argument() -> Arg {
     Arg::new("name")
         .required(true)
         .value_name("NAME")
         .help("Name of the record")
 }
 
-fn version() -> Arg {
+fn version_option() -> Arg {
     Arg::new("if-version")
         .long("if-version")
         .value_name("VERSION")
         .value_parser(value_parser!(u64))
-        .help("Change only this version; without it, the version just read")
+        .help("Change the record only at this version; defaults to the current version")
 }
 
-fn number(name: &'static str, help: &'static str) -> Arg {
+/// An option with a non-negative integer value.
+fn number_option(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .value_name("N")
@@ -165,10 +167,12 @@
         .help(help)
 }
 
-fn text(name: &'static str, help: &'static str) -> Arg {
+/// An option with a string value.
+fn text_option(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name).long(name).value_name("TEXT").help(help)
 }
 
+/// A flag without a value.
 fn flag(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
@@ -176,8 +180,9 @@
         .help(help)
 }
 
-/// A flag that a later command can also turn off; without it the record stays as it is.
-fn toggle(name: &'static str, help: &'static str) -> Arg {
+/// A flag that takes an optional boolean, so that a change can also turn the field off. If it
+/// is absent, the field keeps its value.
+fn bool_option(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .value_name("BOOL")
@@ -187,7 +192,7 @@
         .help(help)
 }
 
-fn models() -> Arg {
+fn model_option() -> Arg {
     Arg::new("model")
         .long("model")
         .value_name("MODEL")
@@ -195,9 +200,9 @@
         .help("A model; may be given several times")
 }
 
-/// Versions and adapters of an endpoint's models.
-fn model_details() -> [Arg; 2] {
-    let pairs = |name: &'static str, value: &'static str, help: &'static str| {
+/// The options for versions and adapters of an endpoint's models.
+fn model_detail_options() -> [Arg; 2] {
+    let pair_option = |name: &'static str, value: &'static str, help: &'static str| {
         Arg::new(name)
             .long(name)
             .value_name(value)
@@ -205,12 +210,12 @@
             .help(help)
     };
     [
-        pairs(
+        pair_option(
             "model-version",
             "MODEL=VERSION",
             "The version of a model; may be given several times, empty for none",
         ),
-        pairs(
+        pair_option(
             "adapter",
             "ADAPTER=MODEL",
             "An adapter and its model; may be given several times, empty for none",
@@ -218,20 +223,22 @@
     ]
 }
 
-fn list() -> Command {
+fn list_command() -> Command {
     Command::new("list").about("List all records with their versions")
 }
 
-fn group(name: &'static str, about: &'static str) -> Command {
+/// A command that only groups subcommands.
+fn command_group(name: &'static str, about: &'static str) -> Command {
     Command::new(name)
         .about(about)
         .subcommand_required(true)
         .arg_required_else_help(true)
 }
 
+/// Adds the name and the fields of a profile, which `create` and `change` share.
 fn profile_fields(command: Command) -> Command {
     command
-        .arg(name())
+        .arg(name_argument())
         .arg(
             Arg::new("class")
                 .long("class")
@@ -241,40 +248,49 @@
                     "batch",
                 ])),
         )
-        .arg(number("budget-tokens", "Budget of a program in tokens"))
-        .arg(number("max-turns", "Most calls in one program"))
-        .arg(number(
+        .arg(number_option(
+            "budget-tokens",
+            "Budget of a program in tokens",
+        ))
+        .arg(number_option(
+            "max-turns",
+            "Maximum number of calls in one program",
+        ))
+        .arg(number_option(
             "max-call-tokens",
-            "Most tokens that one call may generate",
+            "Maximum number of tokens that one call may generate",
         ))
-        .arg(number(
+        .arg(number_option(
             "idle-timeout-ms",
             "A program idle for this long is closed",
         ))
-        .arg(number("max-wait-ms", "A call that waits longer is refused"))
-        .arg(models())
+        .arg(number_option(
+            "max-wait-ms",
+            "A call that waits longer is refused",
+        ))
+        .arg(model_option())
 }
 
 fn profile() -> Command {
-    group("profile", "Create, change, retire and list profiles")
+    command_group("profile", "Create, change, retire and list profiles")
         .subcommand(profile_fields(
             Command::new("create").about("Create a profile; other fields take defaults"),
         ))
         .subcommand(
             profile_fields(Command::new("change").about("Change the fields given"))
-                .arg(version()),
+                .arg(version_option()),
         )
         .subcommand(
             Command::new("retire")
                 .about("Stop new programs from opening under a profile")
-                .arg(name())
-                .arg(version()),
+                .arg(name_argument())
+                .arg(version_option()),
         )
-        .subcommand(list())
+        .subcommand(list_command())
 }
 
 fn key() -> Command {
-    group("key", "Give, withdraw and list customer keys")
+    command_group("key", "Give, withdraw and list customer keys")
         .subcommand(
             Command::new("give")
                 .about("Make a key for a customer and print it once")
@@ -282,125 +298,131 @@
         )
         .subcommand(
             Command::new("withdraw")
-                .about("Withdraw a key for good, running streams included")
+                .about("Withdraw a key permanently, and end its running streams")
                 .arg(Arg::new("name").required(true).value_name("HASH")),
         )
-        .subcommand(list())
+        .subcommand(list_command())
 }
 
 fn customer() -> Command {
-    group("customer", "Set and list customers")
+    command_group("customer", "Set and list customers")
         .subcommand(
             Command::new("set")
                 .about("Create or change a customer")
-                .arg(name())
-                .arg(number(
+                .arg(name_argument())
+                .arg(number_option(
                     "rate-mreq-per-s",
                     "Rate, in thousandths of a request/s",
                 ))
-                .arg(number("burst-mreq", "Burst, in thousandths of a request"))
-                .arg(number(
+                .arg(number_option(
+                    "burst-mreq",
+                    "Burst, in thousandths of a request",
+                ))
+                .arg(number_option(
                     "weight",
-                    "Share of endpoint time relative to others",
+                    "Share of endpoint time relative to other customers",
                 ))
-                .arg(version()),
+                .arg(version_option()),
         )
-        .subcommand(list())
+        .subcommand(list_command())
 }
 
 fn endpoint() -> Command {
-    group(
+    command_group(
         "endpoint",
         "Add, change, drain, activate, remove and list endpoints",
     )
     .subcommand(
         Command::new("add")
             .about("Add an endpoint")
-            .arg(name())
+            .arg(name_argument())
             .arg(
                 Arg::new("kind")
                     .long("kind")
                     .required(true)
                     .value_parser(["model_engine", "plain_service"]),
             )
-            .arg(text("group", "Endpoint group").required(true))
-            .arg(text("availability-zone", "Availability zone").required(true))
-            .arg(text("address", "IP address and port").required(true))
-            .arg(models())
-            .args(model_details())
-            .arg(number("slots", "Calls that it runs at the same time"))
+            .arg(text_option("group", "Endpoint group").required(true))
+            .arg(text_option("availability-zone", "Availability zone").required(true))
+            .arg(text_option("address", "IP address and port").required(true))
+            .arg(model_option())
+            .args(model_detail_options())
+            .arg(number_option("slots", "Maximum number of concurrent calls"))
             .arg(flag(
                 "checks-fencing",
-                "It refuses orders with an old number",
+                "The endpoint rejects orders with an outdated fencing number",
             )),
     )
     .subcommand(
         Command::new("change")
             .about("Change the models of an endpoint, with versions and adapters")
-            .arg(name())
-            .arg(models())
-            .args(model_details())
-            .arg(number("slots", "Calls that it runs at the same time"))
-            .arg(toggle(
+            .arg(name_argument())
+            .arg(model_option())
+            .args(model_detail_options())
+            .arg(number_option("slots", "Maximum number of concurrent calls"))
+            .arg(bool_option(
                 "checks-fencing",
-                "It refuses orders with an old number",
+                "The endpoint rejects orders with an outdated fencing number",
             ))
-            .arg(version()),
+            .arg(version_option()),
     )
     .subcommand(
         Command::new("drain")
             .about("Send no new work to an endpoint")
-            .arg(name())
-            .arg(version()),
+            .arg(name_argument())
+            .arg(version_option()),
     )
     .subcommand(
         Command::new("activate")
             .about("Send new work to a drained endpoint again")
-            .arg(name())
-            .arg(version()),
+            .arg(name_argument())
+            .arg(version_option()),
     )
     .subcommand(
         Command::new("remove")
-            .about("Take an endpoint out for good")
-            .arg(name())
-            .arg(version()),
+            .about("Remove an endpoint permanently")
+            .arg(name_argument())
+            .arg(version_option()),
     )
-    .subcommand(list())
+    .subcommand(list_command())
 }
 
 fn route() -> Command {
-    group("route", "Set, remove and list routes to plain services")
+    command_group("route", "Set, remove and list routes to plain services")
         .subcommand(
             Command::new("set")
                 .about("Create or change a route")
-                .arg(name())
-                .arg(text("path-prefix", "Path prefix, such as /records").required(true))
-                .arg(text("group", "Endpoint group that serves it").required(true))
-                .arg(toggle(
+                .arg(name_argument())
+                .arg(
+                    text_option("path-prefix", "Path prefix, such as /records")
+                        .required(true),
+                )
+                .arg(text_option("group", "Endpoint group that serves it").required(true))
+                .arg(bool_option(
                     "repeatable",
                     "A request may be sent twice without harm",
                 ))
-                .arg(toggle("open", "Requests need no customer key"))
-                .arg(version()),
+                .arg(bool_option("open", "Requests need no customer key"))
+                .arg(version_option()),
         )
         .subcommand(
             Command::new("remove")
                 .about("Remove a route")
-                .arg(name())
-                .arg(version()),
+                .arg(name_argument())
+                .arg(version_option()),
         )
-        .subcommand(list())
+        .subcommand(list_command())
 }
 
 fn instance() -> Command {
-    group("instance", "Act on entry instances").subcommand(
+    command_group("instance", "Manage entry instances").subcommand(
         Command::new("forget")
-            .about("State that the process of an instance is dead, and free its share")
+            .about("Declare the process of an instance dead and free its rate share")
             .long_about(
-                "State that the process of an instance is dead. Its share of the rates is \
-                 free at once. If the process is still alive, customers can exceed their \
-                 rates until it learns of this.",
+                "Declare the process of an instance dead. Its share of the rate limits is \
+                 freed at once. If the process is still alive, customers can exceed their \
+                 rate limits until it learns of this.",
             )
-            .arg(name()),
+            .arg(name_argument()),
     )
 }
--- a/crates/core/src/call_metrics.rs
+++ b/crates/core/src/call_metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of calls, as the runner sees them.
+//! Records metrics of calls from the events that the runner reports.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,7 +10,8 @@
 use crate::clock::Clock;
 use crate::shell::CallTable;
 
-struct Running {
+/// A call that has been dispatched to an endpoint and has not ended.
+struct RunningCall {
     customer: String,
     class: ClassOfService,
     arrived_at_ms: u64,
@@ -20,10 +21,11 @@
 #[derive(Default)]
 struct State {
     configuration: Option<Arc<Configuration>>,
-    running: HashMap<RequestId, Running>,
+    running: HashMap<RequestId, RunningCall>,
 }
 
-/// Records waiting, first token, whole calls, whole programs and refusals, by customer and class.
+/// Records waiting times, times to the first token, durations of calls and programs, and
+/// refusals, by customer and class of service.
 pub(crate) struct CallMetrics {
     clock: Clock,
     metrics: Metrics,
@@ -31,7 +33,7 @@
 }
 
 impl CallMetrics {
-    /// An observer that records to `metrics`.
+    /// Creates a recorder that writes to `metrics`.
     pub(crate) fn new(clock: Clock, metrics: Metrics) -> CallMetrics {
         CallMetrics {
             clock,
@@ -44,14 +46,15 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes over the names of customers.
+    /// Updates the known customers and the customer of each key.
     pub(crate) fn set_configuration(&self, configuration: &Arc<Configuration>) {
         self.metrics
             .set_customers(configuration.customers.keys().map(String::as_str));
         self.lock().configuration = Some(Arc::clone(configuration));
     }
 
-    /// A call goes to an endpoint.
+    /// Records that a call is dispatched to an endpoint. Ignores calls that are not in
+    /// `calls`.
     pub(crate) fn dispatched(&self, dispatch: &Dispatch, calls: &CallTable) {
         let Some((key, arrived_at_ms)) = calls.origin(dispatch.request_id) else {
             return;
@@ -62,7 +65,7 @@
         self.metrics
             .observe_waiting(&customer, dispatch.class, waited_ms);
         let class = dispatch.class;
-        let running = Running {
+        let running = RunningCall {
             customer,
             class,
             arrived_at_ms,
@@ -72,7 +75,8 @@
         self.metrics.set_running_calls(state.running.len());
     }
 
-    /// The first piece of an answer arrived.
+    /// Records that the first chunk of a response arrived. Later chunks of the same response
+    /// are ignored.
     pub(crate) fn first_token(&self, id: RequestId) {
         let now_ms = self.clock.now_ms();
         let mut state = self.lock();
@@ -87,7 +91,7 @@
         }
     }
 
-    /// A call at an endpoint has ended.
+    /// Records that a dispatched call has ended.
     pub(crate) fn ended(&self, id: RequestId) {
         let now_ms = self.clock.now_ms();
         let mut state = self.lock();
@@ -99,13 +103,13 @@
         }
     }
 
-    /// A root program has ended.
+    /// Records that a root program has ended. `ms` is the time since its first call.
     pub(crate) fn program_ended(&self, customer: &str, class: ClassOfService, ms: u64) {
         self.metrics.observe_program(customer, class, ms);
     }
 
-    /// A call was refused. One that an owner refused is not in the table any more, and is
-    /// counted there.
+    /// Counts a refused call. A call that the owner of its program refused is no longer in
+    /// `calls`; the owner counts it.
     pub(crate) fn refused(&self, id: RequestId, refusal: &Refusal, calls: &CallTable) {
         let Some((key, _)) = calls.origin(id) else {
             return;
@@ -115,13 +119,15 @@
             .count_refusal(refusal.reason, customer.as_deref());
     }
 
-    /// Sets the number of calls that have arrived and are not at an endpoint.
+    /// Updates the number of waiting calls. `open` is the number of calls that have arrived
+    /// and have not ended, including those at an endpoint.
     pub(crate) fn set_open_calls(&self, open: usize) {
         let running = self.lock().running.len();
         self.metrics.set_waiting_calls(open.saturating_sub(running));
     }
 }
 
+/// The customer that the key belongs to, or `None` if there is no valid key.
 fn customer(state: &State, key: Option<KeyHash>) -> Option<String> {
     let configuration = state.configuration.as_ref()?;
     let record = configuration.keys.get(&key?)?;
--- a/crates/core/src/dev.rs
+++ b/crates/core/src/dev.rs
@@ -1,5 +1,5 @@
-//! `jayreel dev`: an instance with an embedded store, engine and plain service, and a
-//! demonstration of one agent program against it.
+//! `jayreel dev`: runs an instance with an embedded store, model engine and plain service, and
+//! a demo agent program against it.
 
 mod demo;
 
@@ -25,13 +25,14 @@
 const SETTINGS: &str = include_str!("dev.ini");
 const ADMIN_KEY: &str = "dev-admin-key";
 const CUSTOMER_KEY: &str = "dev-customer-key";
-const START_LIMIT: Duration = Duration::from_secs(30);
+/// Maximum time for the instance to become ready.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Runs the demonstration, and with `--keep` serves until interrupted.
+/// Runs the demo. With `--keep`, continues to serve until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// If a part cannot start or a step of the demonstration fails.
+/// If a component cannot start or a step of the demo fails.
 pub(crate) fn run(matches: &ArgMatches) -> eyre::Result<ExitCode> {
     let text =
         SETTINGS.replace("ADMIN_KEY_HASH", &KeyHash::of_key(ADMIN_KEY).to_string());
@@ -43,7 +44,7 @@
     let service = PlainService::start(any_port, ServiceSettings::default())
         .wrap_err("cannot start the embedded service")?;
     let store = MemoryStore::new();
-    store.commit(configuration(engine.address(), service.address()))?;
+    store.commit(initial_configuration(engine.address(), service.address()))?;
     let instance = Instance::start(settings, Arc::new(store))?;
     wait_until_ready(&instance)?;
 
@@ -65,7 +66,7 @@
 }
 
 fn wait_until_ready(instance: &Instance) -> eyre::Result<()> {
-    let deadline = Instant::now() + START_LIMIT;
+    let deadline = Instant::now() + START_TIMEOUT;
     while !instance.is_ready() {
         if Instant::now() > deadline {
             bail!("the instance did not become ready");
@@ -75,7 +76,8 @@
     Ok(())
 }
 
-fn configuration(engine: SocketAddr, service: SocketAddr) -> Transaction {
+/// The initial configuration: one customer, one endpoint of each kind and one route.
+fn initial_configuration(engine: SocketAddr, service: SocketAddr) -> Transaction {
     let key = format!("config/keys/{}", KeyHash::of_key(CUSTOMER_KEY));
     let records = [
         (
--- a/crates/core/src/dev/demo.rs
+++ b/crates/core/src/dev/demo.rs
@@ -1,4 +1,4 @@
-//! An agent program of two turns with a tool call and a sub-agent.
+//! A demo agent program with two turns, a tool call and a sub-agent.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
@@ -9,17 +9,18 @@
 use ureq::Agent;
 use ureq::http::Response;
 
-const STEP_LIMIT: Duration = Duration::from_secs(30);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 const MODEL: &str = "demo-model";
 
-/// Runs the program against the instance at `address`.
+/// Runs the program against the instance at `address`, and prints each step. `key` is a
+/// customer key.
 ///
 /// # Errors
 ///
-/// If any step is refused or gives an unexpected answer.
+/// If a request is refused or has an unexpected response.
 pub(crate) fn run(address: SocketAddr, key: &str) -> eyre::Result<()> {
     let config = Agent::config_builder()
-        .timeout_global(Some(STEP_LIMIT))
+        .timeout_global(Some(REQUEST_TIMEOUT))
         .build();
     let caller = Caller {
         agent: config.into(),
@@ -30,20 +31,20 @@
     println!("opened a program");
     let question = "Summarise item 4 of tonight's council meeting.";
     caller
-        .chat_streamed(&program, question)
+        .stream_chat(&program, question)
         .wrap_err("the first turn failed")?;
     caller
-        .file_notice(&program)
+        .call_tool(&program)
         .wrap_err("the tool call failed")?;
     let sub_agent = caller
         .open(Some(&program))
         .wrap_err("cannot open a sub-agent")?;
     println!("opened a sub-agent of the program");
     caller
-        .chat_streamed(&sub_agent, "List past resolutions on drainage.")
+        .stream_chat(&sub_agent, "List past resolutions on drainage.")
         .wrap_err("the sub-agent's turn failed")?;
     caller
-        .chat_streamed(&program, "Write the final summary.")
+        .stream_chat(&program, "Write the final summary.")
         .wrap_err("the last turn failed")?;
     caller.close(&sub_agent)?;
     caller.close(&program)?;
@@ -58,6 +59,7 @@
 }
 
 impl Caller {
+    /// Opens a program, or a sub-agent of `parent`, and returns its token.
     fn open(&self, parent: Option<&str>) -> eyre::Result<String> {
         let request = self
             .agent
@@ -75,7 +77,8 @@
         Ok(token.to_string())
     }
 
-    fn chat_streamed(&self, program: &str, question: &str) -> eyre::Result<()> {
+    /// Makes a model call and prints the streamed response.
+    fn stream_chat(&self, program: &str, question: &str) -> eyre::Result<()> {
         let response = self
             .agent
             .post(format!("{}/v1/chat/completions", self.base))
@@ -91,7 +94,8 @@
         print_stream(response)
     }
 
-    fn file_notice(&self, program: &str) -> eyre::Result<()> {
+    /// Makes a tool call to the plain service.
+    fn call_tool(&self, program: &str) -> eyre::Result<()> {
         let mut response = self
             .agent
             .post(format!("{}/records/notices", self.base))
@@ -114,6 +118,7 @@
     }
 }
 
+/// Prints the texts of a stream of server-sent events as they arrive.
 fn print_stream(response: Response<ureq::Body>) -> eyre::Result<()> {
     print!("  streamed answer:");
     for line in BufReader::new(response.into_body().into_reader()).lines() {
--- a/crates/core/src/engine_link.rs
+++ b/crates/core/src/engine_link.rs
@@ -1,4 +1,4 @@
-//! Reports, probes, cache releases and orders of endpoints.
+//! Control traffic with endpoints: load reports, probes, cache releases and orders.
 
 mod poller;
 
@@ -19,21 +19,22 @@
 use crate::logging::Value;
 use crate::shell::ShellEvent;
 
-/// Threads for probes, releases and orders.
+/// Number of threads that carry out tasks. Load reports have their own thread.
 const WORKERS: usize = 4;
 
-/// Tasks that may wait. The reducer repeats what is dropped.
+/// Maximum number of queued tasks. Further tasks are dropped; the reducer repeats them.
 const MAX_WAITING_TASKS: usize = 1_000;
 
-/// Deadline for the connection of a probe.
+/// Timeout for connecting to an endpoint that is probed.
 const PROBE_TIMEOUT_MS: u64 = 1_000;
 
+/// One request to an endpoint, run by a worker thread.
 enum Task {
-    List {
+    ListTags {
         endpoint: String,
         address: String,
     },
-    Order {
+    SendOrder {
         endpoint: String,
         address: String,
         fencing: u64,
@@ -43,14 +44,15 @@
         endpoint: String,
         address: String,
     },
-    Release {
+    ReleaseCache {
         endpoint: String,
         address: String,
         cache_tag: String,
     },
 }
 
-/// Control of engines, on threads of its own.
+/// Handle for control requests to endpoints. They run on worker threads, and their results
+/// are sent as events to the shell.
 #[derive(Clone)]
 pub(crate) struct EngineLink {
     tasks: Sender<Task>,
@@ -58,7 +60,9 @@
 }
 
 impl EngineLink {
-    /// Starts the threads. They end when all clones and `stop` are dropped.
+    /// Starts the threads. The workers end when all clones of the handle are dropped, the
+    /// thread for load reports when the sender of `stop` is dropped. `load_interval_ms` is
+    /// the time between two load reports.
     ///
     /// # Errors
     ///
@@ -95,7 +99,7 @@
         })
     }
 
-    /// Takes over the endpoints.
+    /// Updates the endpoints and their addresses.
     pub(crate) fn set_configuration(&self, configuration: &Arc<Configuration>) {
         let mut current = self
             .configuration
@@ -104,22 +108,25 @@
         *current = Some(Arc::clone(configuration));
     }
 
-    /// Asks an endpoint whether it is ready.
+    /// Checks whether an endpoint accepts connections. The result is
+    /// [`Event::ProbeFinished`].
     pub(crate) fn probe(&self, endpoint: String, address: String) {
         let _ = self.tasks.try_send(Task::Probe { endpoint, address });
     }
 
-    /// Asks an engine for the cache tags that it holds.
+    /// Requests the cache tags that an engine holds. The result is
+    /// [`FleetEvent::TagsListed`]; there is none if the request fails.
     pub(crate) fn list_tags(&self, endpoint: String) {
-        if let Some(address) = self.address(&endpoint) {
-            let _ = self.tasks.try_send(Task::List { endpoint, address });
+        if let Some(address) = self.address_of(&endpoint) {
+            let _ = self.tasks.try_send(Task::ListTags { endpoint, address });
         }
     }
 
-    /// Tells an engine to drop the cache of a program.
+    /// Tells an engine to release the cache with this tag. The result is
+    /// [`Event::CacheReleased`].
     pub(crate) fn release(&self, endpoint: String, cache_tag: String) {
-        if let Some(address) = self.address(&endpoint) {
-            let task = Task::Release {
+        if let Some(address) = self.address_of(&endpoint) {
+            let task = Task::ReleaseCache {
                 endpoint,
                 address,
                 cache_tag,
@@ -128,11 +135,11 @@
         }
     }
 
-    /// Sends an order to an engine. One that is dropped here has no answer, and the reducer
-    /// gives it up after some time.
+    /// Sends an order to an engine. The result is [`FleetEvent::OrderAnswered`]. An order
+    /// that is dropped because the queue is full has no result; the reducer then times out.
     pub(crate) fn order(&self, endpoint: String, fencing: u64, order: EngineOrder) {
-        if let Some(address) = self.address(&endpoint) {
-            let task = Task::Order {
+        if let Some(address) = self.address_of(&endpoint) {
+            let task = Task::SendOrder {
                 endpoint,
                 address,
                 fencing,
@@ -142,7 +149,8 @@
         }
     }
 
-    fn address(&self, endpoint: &str) -> Option<String> {
+    /// The configured address of an endpoint, or `None` if it is not configured.
+    fn address_of(&self, endpoint: &str) -> Option<String> {
         let current = self
             .configuration
             .lock()
@@ -162,29 +170,31 @@
     fn run(self) {
         for task in &self.tasks {
             match task {
-                Task::List { endpoint, address } => self.list(endpoint, &address),
-                Task::Order {
+                Task::ListTags { endpoint, address } => {
+                    self.list_tags(endpoint, &address)
+                }
+                Task::SendOrder {
                     endpoint,
                     address,
                     fencing,
                     order,
-                } => self.order(endpoint, &address, fencing, &order),
+                } => self.send_order(endpoint, &address, fencing, &order),
                 Task::Probe { endpoint, address } => {
                     let healthy = is_reachable(&address);
-                    self.schedule(Event::ProbeFinished { endpoint, healthy });
+                    self.send_event(Event::ProbeFinished { endpoint, healthy });
                 }
-                Task::Release {
+                Task::ReleaseCache {
                     endpoint,
                     address,
                     cache_tag,
                 } => {
-                    self.release(endpoint, &address, cache_tag);
+                    self.release_cache(endpoint, &address, cache_tag);
                 }
             }
         }
     }
 
-    fn list(&self, endpoint: String, address: &str) {
+    fn list_tags(&self, endpoint: String, address: &str) {
         match self.control.cache_tags(address) {
             Ok(tags) => {
                 let event = FleetEvent::TagsListed { endpoint, tags };
@@ -196,7 +206,13 @@
         }
     }
 
-    fn order(&self, endpoint: String, address: &str, fencing: u64, order: &EngineOrder) {
+    fn send_order(
+        &self,
+        endpoint: String,
+        address: &str,
+        fencing: u64,
+        order: &EngineOrder,
+    ) {
         let text = format!("{order:?}");
         let text = Value(&text);
         let outcome = self.control.send_order(address, fencing, order);
@@ -217,27 +233,28 @@
         let _ = self.events.send(ShellEvent::Reducer(Input::Fleet(event)));
     }
 
-    fn release(&self, endpoint: String, address: &str, cache_tag: String) {
+    fn release_cache(&self, endpoint: String, address: &str, cache_tag: String) {
         let result = self.control.release_cache(address, &cache_tag);
         if let Err(error) = &result {
             log::warn!("event=cache_not_released endpoint={endpoint} error={error:?}");
         }
         let released = result.is_ok();
-        self.schedule(Event::CacheReleased {
+        self.send_event(Event::CacheReleased {
             endpoint,
             cache_tag,
             released,
         });
     }
 
-    fn schedule(&self, event: Event) {
+    fn send_event(&self, event: Event) {
         let _ = self
             .events
             .send(ShellEvent::Reducer(Input::Schedule(event)));
     }
 }
 
-/// Whether an endpoint accepts connections. Plain services have no common health check.
+/// Whether an endpoint accepts TCP connections. Plain services have no common protocol for
+/// health checks.
 fn is_reachable(address: &str) -> bool {
     let timeout = Duration::from_millis(PROBE_TIMEOUT_MS);
     let address = address.parse::<SocketAddr>();
--- a/crates/core/src/logging.rs
+++ b/crates/core/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs: one line of key=value pairs for each event.
+//! Sets up logging. Each event is one line of key=value pairs.
 
 use std::fmt;
 use std::time::SystemTime;
@@ -7,7 +7,7 @@
 use jayreel_gateway::LogQueue;
 use jayreel_settings::LogSettings;
 
-/// Sends all log lines to the file or to standard error.
+/// Writes the log to the configured file, or to standard error if none is configured.
 ///
 /// # Errors
 ///
@@ -18,8 +18,8 @@
         .parse()
         .wrap_err("the log level is not known")?;
     let instance = instance.to_string();
-    // Libraries are heard only when something is wrong: their lower levels are not in
-    // key=value form.
+    // Only warnings and errors of libraries are logged, because their messages at lower
+    // levels are not in key=value form.
     let is_own = |metadata: &log::Metadata<'_>| {
         metadata.target().starts_with("jayreel") || metadata.level() <= log::Level::Warn
     };
@@ -45,7 +45,7 @@
     dispatch.apply().wrap_err("logging is already set up")
 }
 
-/// Sends all log lines to standard output without ever waiting for it.
+/// Writes the log to standard output from a separate thread, so that logging never blocks.
 ///
 /// # Errors
 ///
@@ -79,7 +79,8 @@
         .map_or(0, |elapsed| elapsed.as_millis())
 }
 
-/// Text as a value in a log line: quoted if it holds a space, quote or control character.
+/// Displays a string as a value of a key=value pair. It is quoted if it is empty or contains
+/// white space, a control character, `"` or `=`.
 pub(crate) struct Value<'a>(pub(crate) &'a str);
 
 impl fmt::Display for Value<'_> {
--- a/crates/core/src/main.rs
+++ b/crates/core/src/main.rs
@@ -1,4 +1,4 @@
-//! The `jayreel` binary: one function for each mode.
+//! The `jayreel` binary: parses the command line and runs the subcommand.
 
 mod admin;
 mod args;
@@ -20,7 +20,7 @@
 
 use clap::ArgMatches;
 
-/// Exit code for settings or arguments that are at fault.
+/// Exit code for invalid settings or arguments.
 const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
@@ -45,7 +45,7 @@
     })
 }
 
-/// Prints each fault of a settings file.
+/// Validates a settings file and prints its errors.
 fn check(matches: &ArgMatches) -> ExitCode {
     match jayreel_settings::Settings::read(args::config_path(matches)) {
         Ok(_) => ExitCode::SUCCESS,
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -1,4 +1,4 @@
-//! `jayreel edge` and `jayreel storage`: one instance on the users' platform.
+//! `jayreel edge` and `jayreel storage`: run one instance on the users' platform.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -11,21 +11,22 @@
 
 use crate::{EXIT_USAGE, logging};
 
-/// What an instance does.
+/// The part that an instance on the users' platform plays.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Role {
-    /// Takes callers' requests.
+    /// Serves the requests of callers.
     Edge,
-    /// Keeps data on its disk.
+    /// Stores data on its disk.
     Storage,
 }
 
-/// Runs until SIGTERM or SIGINT. Other instances are told `advertised`, or else the address that
-/// this one listens on.
+/// Runs an instance until SIGTERM or SIGINT. `advertised` is the address that other instances
+/// connect to; without it, they use the listening address.
 ///
 /// # Errors
 ///
-/// If the settings are at fault or the instance cannot start.
+/// If the instance cannot start or fails. Invalid settings are printed instead, with exit code
+/// [`EXIT_USAGE`].
 pub(crate) fn run(role: Role, advertised: Option<SocketAddr>) -> eyre::Result<ExitCode> {
     let mut settings = match jayreel_platform::read_settings() {
         Ok(settings) => settings,
--- a/crates/core/src/operator/endpoint.rs
+++ b/crates/core/src/operator/endpoint.rs
@@ -1,19 +1,19 @@
-//! The record of an endpoint, as the command line gives it.
+//! Builds the record of an endpoint from the command line.
 
 use clap::ArgMatches;
 use eyre::eyre;
 use serde_json::{Map, Value};
 
-use super::{copy_models, copy_numbers, copy_texts, with};
+use super::{copy_models, copy_numbers, copy_strings, with_field};
 
-/// The record of a new endpoint.
+/// Builds the record of a new endpoint.
 ///
 /// # Errors
 ///
-/// If a version or an adapter has another form than `NAME=VALUE`.
-pub(super) fn new(matches: &ArgMatches) -> eyre::Result<Map<String, Value>> {
+/// If a version or an adapter is not of the form `NAME=VALUE`.
+pub(super) fn new_record(matches: &ArgMatches) -> eyre::Result<Map<String, Value>> {
     let mut record = Map::new();
-    copy_texts(
+    copy_strings(
         matches,
         &mut record,
         &["kind", "group", "availability-zone", "address"],
@@ -22,16 +22,16 @@
     copy_models(matches, &mut record);
     copy_pairs(matches, &mut record)?;
     let checks_fencing = matches.get_flag("checks-fencing");
-    Ok(with(record, "checks_fencing", checks_fencing))
+    Ok(with_field(record, "checks_fencing", checks_fencing))
 }
 
-/// The record with other slots, models, versions and adapters. What is not given stays,
-/// except versions and adapters of models that are no longer served.
+/// Updates the fields that are given on the command line. Other fields are kept, except for
+/// versions and adapters of models that are no longer served.
 ///
 /// # Errors
 ///
-/// If a version or an adapter has another form than `NAME=VALUE`.
-pub(super) fn changed(
+/// If a version or an adapter is not of the form `NAME=VALUE`.
+pub(super) fn changed_record(
     matches: &ArgMatches,
     mut record: Map<String, Value>,
 ) -> eyre::Result<Map<String, Value>> {
@@ -55,13 +55,14 @@
     Ok(record)
 }
 
-/// Copies versions and adapters. An empty value empties the list.
+/// Replaces the versions and adapters that are given on the command line. An empty value
+/// removes all of them.
 fn copy_pairs(matches: &ArgMatches, record: &mut Map<String, Value>) -> eyre::Result<()> {
     for (option, field) in [("model-version", "versions"), ("adapter", "adapters")] {
-        let Some(given) = matches.get_many::<String>(option) else {
+        let Some(values) = matches.get_many::<String>(option) else {
             continue;
         };
-        let pairs = given.filter(|text| !text.is_empty()).map(|text| {
+        let pairs = values.filter(|text| !text.is_empty()).map(|text| {
             let pair = text.split_once('=');
             let (name, value) =
                 pair.ok_or_else(|| eyre!("--{option} {text:?} has no '='"))?;
--- a/crates/core/src/serve.rs
+++ b/crates/core/src/serve.rs
@@ -1,4 +1,4 @@
-//! `jayreel serve`: one entry instance until it is told to stop.
+//! `jayreel serve`: runs one entry instance until it is stopped.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -15,18 +15,19 @@
 use crate::instance::Instance;
 use crate::{EXIT_USAGE, args, logging};
 
-/// Time between two looks for a signal.
-const SIGNAL_CHECK: Duration = Duration::from_millis(100);
+/// Time between two checks for a signal and for being superseded.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The process was cut off for so long that another one took over its programs. It has
-/// ended as in a planned stop and is to be started again.
+/// Exit code if the process was disconnected for so long that another one took over its
+/// programs. It shuts down gracefully and must be restarted.
 const EXIT_SUPERSEDED: u8 = 5;
 
-/// Runs until SIGTERM or SIGINT, then stops without cutting a call.
+/// Runs until SIGTERM or SIGINT, then shuts down without interrupting a call.
 ///
 /// # Errors
 ///
-/// If the settings are at fault or the instance cannot start.
+/// If the instance cannot start. Invalid settings are printed instead, with exit code
+/// [`EXIT_USAGE`].
 pub(crate) fn run(matches: &ArgMatches) -> eyre::Result<ExitCode> {
     let settings = match Settings::read(args::config_path(matches)) {
         Ok(settings) => settings,
@@ -47,7 +48,7 @@
         instance.peer_address()
     );
     loop {
-        thread::sleep(SIGNAL_CHECK);
+        thread::sleep(POLL_INTERVAL);
         if signals.pending().next().is_some() {
             instance.close();
             return Ok(ExitCode::SUCCESS);
@@ -60,6 +61,8 @@
     }
 }
 
+/// Applies `timeout_ms` to each phase of a store request: the connection, the first byte and
+/// the body.
 fn store_settings(settings: &Settings) -> EtcdSettings {
     let addresses = settings
         .platform
--- a/crates/server/src/admin/route.rs
+++ b/crates/server/src/admin/route.rs
@@ -51,6 +51,7 @@
     }
 }
 
+/// Maps the path segment of a record kind.
 fn resource(kind: &str) -> Option<AdminResource> {
     match kind {
         "customers" => Some(AdminResource::Customers),
@@ -81,14 +82,14 @@
 
 /// Reads the expected version from the values of `If-Match` and `If-None-Match`. Returns
 /// `None` if neither header is present.
-pub(crate) fn expected(
+pub(crate) fn expected_version(
     if_match: Option<&str>,
     if_none_match: Option<&str>,
 ) -> Result<Option<ExpectedVersion>, AdminError> {
     match (if_match, if_none_match) {
         (None, None) => Ok(None),
         (None, Some("*")) => Ok(Some(ExpectedVersion::Absent)),
-        (Some(tag), None) => version(tag)
+        (Some(tag), None) => parse_version(tag)
             .map(|version| Some(ExpectedVersion::Is(version)))
             .ok_or_else(|| invalid_condition("if-match is not one version in quotes")),
         _ => Err(invalid_condition("expected if-match or if-none-match: *")),
@@ -96,7 +97,7 @@
 }
 
 /// Parses a version in quotes. Only digits are accepted, because `parse` also takes a sign.
-fn version(tag: &str) -> Option<u64> {
+fn parse_version(tag: &str) -> Option<u64> {
     let digits = tag.strip_prefix('"')?.strip_suffix('"')?;
     match digits.bytes().all(|byte| byte.is_ascii_digit()) {
         true => digits.parse().ok(),
--- a/crates/server/src/admin/server.rs
+++ b/crates/server/src/admin/server.rs
@@ -137,7 +137,7 @@
         let request = AdminRequest {
             operator,
             operation: route::parse(head.method.as_str(), path)?,
-            expected: route::expected(
+            expected: route::expected_version(
                 header(head, "if-match"),
                 header(head, "if-none-match"),
             )?,
--- a/crates/server/src/metrics.rs
+++ b/crates/server/src/metrics.rs
@@ -172,6 +172,7 @@
         }
     }
 
+    /// Removes all time series with the label value of the customer.
     fn remove_customer(&self, customer: &str) {
         let by_class = [
             &self.waiting_s,
--- a/crates/server/src/response.rs
+++ b/crates/server/src/response.rs
@@ -142,6 +142,8 @@
         ResponseBody::Whole(None)
     }
 
+    /// Returns the next chunk, `None` at the end of a complete body, and an error if the
+    /// responder ended the body early or sent more than the declared length.
     fn poll_chunk(
         &mut self,
         context: &mut Context<'_>,
