--- a/crates/server/src/admin/server.rs
+++ b/crates/server/src/admin/server.rs
@@ -129,7 +129,7 @@
         if is_metrics && self.settings.open_metrics {
             return self.metrics();
         }
-        let operator = self.operator(head)?;
+        let operator = self.authenticate(head)?;
         if is_metrics {
             return self.metrics();
         }
@@ -138,18 +138,18 @@
             operator,
             operation: route::parse(head.method.as_str(), path)?,
             expected: route::expected_version(
-                header(head, "if-match"),
-                header(head, "if-none-match"),
+                header_value(head, "if-match"),
+                header_value(head, "if-none-match"),
             )?,
             body: read_body::read(body, &self.settings.limits, &mut reservation)
                 .await
                 .map_err(body_error)?,
         };
-        self.run(request).await.and_then(success_response)
+        self.run_handler(request).await.and_then(success_response)
     }
 
     /// Authenticates the request and returns the name of the operator's key.
-    fn operator(&self, head: &request::Parts) -> Result<String, AdminError> {
+    fn authenticate(&self, head: &request::Parts) -> Result<String, AdminError> {
         let invalid =
             || AdminError::new(AdminErrorKind::InvalidKey, "the key is not valid");
         let key = headers::key(&head.headers).map_err(|_| invalid())?;
@@ -160,7 +160,10 @@
     }
 
     /// Runs the handler on a blocking thread, because it accesses the store.
-    async fn run(&self, request: AdminRequest) -> Result<AdminResponse, AdminError> {
+    async fn run_handler(
+        &self,
+        request: AdminRequest,
+    ) -> Result<AdminResponse, AdminError> {
         let busy = |_| {
             let message = "too many administration requests are being handled";
             AdminError::new(AdminErrorKind::Busy, message)
@@ -203,7 +206,9 @@
     keys.get(usize::try_from(found).ok()?)
 }
 
-fn header<'a>(head: &'a request::Parts, name: &str) -> Option<&'a str> {
+/// The value of a header. A value that is not visible ASCII becomes empty, which
+/// [`route::expected_version`] refuses.
+fn header_value<'a>(head: &'a request::Parts, name: &str) -> Option<&'a str> {
     head.headers
         .get(name)
         .map(|value| value.to_str().unwrap_or_default())
--- a/crates/server/src/chat.rs
+++ b/crates/server/src/chat.rs
@@ -54,7 +54,7 @@
     let body: ChatBody<'_> = serde_json::from_str(text)
         .map_err(|error| invalid(format!("the body is not a chat request: {error}")))?;
     validate(&body)?;
-    let mut bound = MAX_TEMPLATE_TOKENS;
+    let mut prompt_bound = MAX_TEMPLATE_TOKENS;
     let mut prefix = history::EMPTY;
     let mut prefix_hashes = Vec::with_capacity(body.messages.len());
     for raw in &body.messages {
@@ -63,12 +63,12 @@
         if !message.is_object() {
             return Err(invalid("field messages: a message is not an object"));
         }
-        bound += text_bytes(&message) + MAX_TEMPLATE_TOKENS;
+        prompt_bound += text_bytes(&message) + MAX_TEMPLATE_TOKENS;
         prefix = history::extend(prefix, &message);
         prefix_hashes.push(prefix);
     }
     let schemas = [body.tools, body.functions, body.response_format];
-    bound += schemas
+    prompt_bound += schemas
         .iter()
         .flatten()
         .map(|raw| raw.get().len() as u64)
@@ -77,7 +77,7 @@
         model: body.model,
         stream: body.stream.unwrap_or(false),
         max_tokens: body.max_completion_tokens.or(body.max_tokens),
-        prompt_bound_tokens: bound,
+        prompt_bound_tokens: prompt_bound,
         prefix_hashes,
     })
 }
--- a/crates/server/src/listener.rs
+++ b/crates/server/src/listener.rs
@@ -79,10 +79,10 @@
             on_accept_error,
         });
         let (commands, inbox) = mpsc::unbounded_channel();
-        let thread_state = Arc::clone(&shared);
+        let thread_shared = Arc::clone(&shared);
         let thread = std::thread::Builder::new()
             .name(name.to_string())
-            .spawn(move || runtime.block_on(run(listener, thread_state, inbox)))?;
+            .spawn(move || runtime.block_on(run(listener, thread_shared, inbox)))?;
         Ok(Listener {
             address,
             shared,
@@ -178,6 +178,7 @@
     }
 }
 
+/// Accepts connections forever. Stops at `max_connections` until one of them ends.
 async fn accept_all(
     listener: &TcpListener,
     shared: &Arc<Shared>,
@@ -186,7 +187,7 @@
     loop {
         let permit = Arc::clone(permits).acquire_owned().await;
         match listener.accept().await {
-            Ok((stream, _)) => spawn(stream, shared, permit),
+            Ok((stream, _)) => spawn_connection(stream, shared, permit),
             Err(error) => {
                 (shared.on_accept_error)();
                 log::warn!("event=accept_failed error={error:?}");
@@ -202,7 +203,7 @@
     let mut failures = 0;
     while failures < MAX_ACCEPT_FAILURES_ON_STOP {
         match accept_nonblocking(&listener) {
-            Ok(stream) => spawn(stream, shared, ()),
+            Ok(stream) => spawn_connection(stream, shared, ()),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
             Err(error) => {
                 failures += 1;
@@ -220,7 +221,12 @@
     TcpStream::from_std(stream)
 }
 
-fn spawn(stream: TcpStream, shared: &Arc<Shared>, permit: impl Send + 'static) {
+/// Serves the connection in a task, which holds `permit` until the connection ends.
+fn spawn_connection(
+    stream: TcpStream,
+    shared: &Arc<Shared>,
+    permit: impl Send + 'static,
+) {
     let guard = ConnectionCountGuard::new(Arc::clone(shared));
     tokio::spawn(async move {
         let shared = &guard.0;
--- a/crates/server/tests/support/mod.rs
+++ b/crates/server/tests/support/mod.rs
@@ -148,10 +148,10 @@
         let stream = TcpStream::connect(address).expect("the listener accepts");
         stream
             .set_read_timeout(Some(TIMEOUT))
-            .expect("a deadline is set");
+            .expect("the timeout is set");
         stream
             .set_write_timeout(Some(TIMEOUT))
-            .expect("a deadline is set");
+            .expect("the timeout is set");
         Client {
             stream,
             buffered: Vec::new(),
