--- a/crates/core/src/admin/mod.rs
+++ b/crates/core/src/admin/mod.rs
@@ -15,7 +15,7 @@
 use jayreel_store::registration::INSTANCES_PREFIX;
 use jayreel_store::{
     ConfigurationEditor, ConfigurationFeed, EditError, Store, Versioned,
-    remove_registration, home_weights_record,
+    home_weights_record, remove_registration,
 };
 use serde::Serialize;
 use serde_json::{Value, json};
--- a/crates/core/src/instance/base.rs
+++ b/crates/core/src/instance/base.rs
@@ -18,11 +18,11 @@
 use jayreel_store::{ConfigurationFeed, FeedSettings, Registration, Store};
 use prometheus::Registry;
 
-use crate::admin::Administration;
+use crate::admin::AdminApi;
+use crate::call_metrics::CallMetrics;
 use crate::clock::Clock;
 use crate::engine_link::EngineLink;
 use crate::instance::from_settings;
-use crate::observe::Observer;
 use crate::peer_link::{self, PeerSender, Seeds};
 use crate::shell::{
     CallTable, Dispatcher, Forwarder, Outlets, Runner, ShellEvent, ShellIntake,
@@ -181,7 +181,7 @@
             engines,
             peers: self.peers.clone(),
             store: store_link.effects(),
-            observer: Arc::new(Observer::new(self.clock, metrics)),
+            observer: Arc::new(CallMetrics::new(self.clock, metrics)),
         };
         let runner = Runner::new(
             self.clock,
@@ -233,7 +233,7 @@
         registry: Registry,
         feed: &Arc<ConfigurationFeed>,
     ) -> eyre::Result<AdminServer> {
-        let administration = Administration::new(
+        let administration = AdminApi::new(
             Arc::clone(&self.store),
             Arc::clone(feed),
             self.peers.clone(),
--- a/crates/core/src/shell/forward.rs
+++ b/crates/core/src/shell/forward.rs
@@ -12,7 +12,7 @@
 };
 use jayreel_scheduler::Event;
 use jayreel_scheduler::event::{CallArrived, CallOperation};
-use jayreel_server::{ResponseSink, ChatParams, Operation, Responder, ResponderClosed};
+use jayreel_server::{ChatParams, Operation, Responder, ResponderClosed, ResponseSink};
 use serde::{Deserialize, Serialize};
 
 use crate::shell::calls::{CallTable, RequestParts};
