--- a/crates/core/src/admin/confirm.rs
+++ b/crates/core/src/admin/confirm.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 
 use crate::admin::{Administration, answer};
-use crate::shell::{ShellEvent, StatusReport};
+use crate::shell::{RunnerEvent, StatusReport};
 
 /// How long an operator waits for all instances to confirm a change.
 const CONFIRM_LIMIT: Duration = Duration::from_secs(5);
@@ -115,7 +115,7 @@
 
     pub(super) fn status(&self) -> Option<StatusReport> {
         let (reply, answer) = bounded(1);
-        self.events.send(ShellEvent::Status(reply)).ok()?;
+        self.events.send(RunnerEvent::Status(reply)).ok()?;
         answer.recv_timeout(STATUS_LIMIT).ok()
     }
 
--- a/crates/core/src/admin/mod.rs
+++ b/crates/core/src/admin/mod.rs
@@ -22,7 +22,7 @@
 
 use crate::admin::confirm::STATUS_UNCONFIRMED;
 use crate::peer_link::PeerSender;
-use crate::shell::ShellEvent;
+use crate::shell::RunnerEvent;
 
 /// Serves operators.
 pub(crate) struct Administration {
@@ -30,7 +30,7 @@
     store: Arc<dyn Store>,
     feed: Arc<ConfigurationFeed>,
     peers: PeerSender,
-    events: Sender<ShellEvent>,
+    events: Sender<RunnerEvent>,
     offline_grace_s: u64,
 }
 
@@ -40,7 +40,7 @@
         store: Arc<dyn Store>,
         feed: Arc<ConfigurationFeed>,
         peers: PeerSender,
-        events: Sender<ShellEvent>,
+        events: Sender<RunnerEvent>,
         offline_grace_s: u64,
     ) -> Administration {
         let editor = ConfigurationEditor::new(Arc::clone(&store), Default::default());
--- a/crates/core/src/engine_link.rs
+++ b/crates/core/src/engine_link.rs
@@ -17,7 +17,7 @@
 use crate::clock::Clock;
 use crate::engine_link::poller::Poller;
 use crate::logging::Value;
-use crate::shell::ShellEvent;
+use crate::shell::RunnerEvent;
 
 /// Threads for probes, releases and orders.
 const WORKERS: usize = 4;
@@ -67,7 +67,7 @@
         clock: Clock,
         control: Arc<dyn EngineControl>,
         load_interval_ms: u64,
-        events: Sender<ShellEvent>,
+        events: Sender<RunnerEvent>,
         stop: Receiver<()>,
     ) -> eyre::Result<EngineLink> {
         let (tasks, inbox) = bounded(MAX_WAITING_TASKS);
@@ -154,7 +154,7 @@
 
 struct Worker {
     control: Arc<dyn EngineControl>,
-    events: Sender<ShellEvent>,
+    events: Sender<RunnerEvent>,
     tasks: Receiver<Task>,
 }
 
@@ -188,7 +188,7 @@
         match self.control.cache_tags(address) {
             Ok(tags) => {
                 let event = FleetEvent::TagsListed { endpoint, tags };
-                let _ = self.events.send(ShellEvent::Reducer(Input::Fleet(event)));
+                let _ = self.events.send(RunnerEvent::Reducer(Input::Fleet(event)));
             }
             Err(error) => {
                 log::warn!("event=tags_not_listed endpoint={endpoint} error={error:?}");
@@ -214,7 +214,7 @@
             fencing,
             answer,
         };
-        let _ = self.events.send(ShellEvent::Reducer(Input::Fleet(event)));
+        let _ = self.events.send(RunnerEvent::Reducer(Input::Fleet(event)));
     }
 
     fn release(&self, endpoint: String, address: &str, cache_tag: String) {
@@ -233,7 +233,7 @@
     fn schedule(&self, event: Event) {
         let _ = self
             .events
-            .send(ShellEvent::Reducer(Input::Schedule(event)));
+            .send(RunnerEvent::Reducer(Input::Schedule(event)));
     }
 }
 
--- a/crates/core/src/engine_link/poller.rs
+++ b/crates/core/src/engine_link/poller.rs
@@ -14,7 +14,7 @@
 use jayreel_scheduler::event::LoadReport;
 
 use crate::clock::Clock;
-use crate::shell::ShellEvent;
+use crate::shell::RunnerEvent;
 
 /// Threads that ask. A silent engine takes one of them until its deadline, and must not
 /// hold up the reports of the others.
@@ -45,7 +45,7 @@
     pub(super) fn start(
         clock: Clock,
         control: Arc<dyn EngineControl>,
-        events: Sender<ShellEvent>,
+        events: Sender<RunnerEvent>,
         configuration: Arc<Mutex<Option<Arc<Configuration>>>>,
     ) -> eyre::Result<Poller> {
         let (due, inbox) = unbounded();
@@ -111,7 +111,7 @@
 struct Reporter {
     clock: Clock,
     control: Arc<dyn EngineControl>,
-    events: Sender<ShellEvent>,
+    events: Sender<RunnerEvent>,
     due: Receiver<DueEngine>,
     outstanding: Arc<Mutex<BTreeSet<String>>>,
 }
@@ -139,7 +139,7 @@
         };
         let _ = self
             .events
-            .send(ShellEvent::Reducer(Input::Schedule(event)));
+            .send(RunnerEvent::Reducer(Input::Schedule(event)));
         self.report_models(&engine.endpoint, &engine.address);
     }
 
@@ -164,7 +164,7 @@
             models,
         };
         for input in [Input::Schedule(loaded), Input::Fleet(reported)] {
-            let _ = self.events.send(ShellEvent::Reducer(input));
+            let _ = self.events.send(RunnerEvent::Reducer(input));
         }
     }
 }
--- a/crates/core/src/instance/base.rs
+++ b/crates/core/src/instance/base.rs
@@ -25,7 +25,7 @@
 use crate::observe::Observer;
 use crate::peer_link::{self, PeerSender, Seeds};
 use crate::shell::{
-    CallTable, Dispatcher, Forwarder, Outlets, Runner, ShellEvent, ShellIntake,
+    CallTable, Dispatcher, Forwarder, Outlets, Runner, RunnerEvent, ShellIntake,
 };
 use crate::store_link::StoreLink;
 
@@ -35,13 +35,13 @@
     pub(super) own: Incarnation,
     pub(super) registered: Registered,
     pub(super) calls: Arc<CallTable>,
-    pub(super) events: Sender<ShellEvent>,
+    pub(super) events: Sender<RunnerEvent>,
     pub(super) ready: Arc<AtomicBool>,
     pub(super) network: Arc<TcpPeerNetwork>,
     clock: Clock,
     store: Arc<dyn Store>,
     peers: PeerSender,
-    inbox: Receiver<ShellEvent>,
+    inbox: Receiver<RunnerEvent>,
     inbound: Receiver<Inbound>,
 }
 
@@ -218,7 +218,7 @@
                     log::info!("event=configuration_applied revision={revision}");
                     let event =
                         Input::Schedule(Event::ConfigurationChanged(configuration));
-                    if events.send(ShellEvent::Reducer(event)).is_err() {
+                    if events.send(RunnerEvent::Reducer(event)).is_err() {
                         return;
                     }
                 }
--- a/crates/core/src/instance/mod.rs
+++ b/crates/core/src/instance/mod.rs
@@ -20,7 +20,7 @@
 
 use crate::instance::base::Base;
 use crate::peer_link::Seeds;
-use crate::shell::{CallTable, ShellEvent, StatusReport};
+use crate::shell::{CallTable, RunnerEvent, StatusReport};
 use crate::store_link::StoreLink;
 
 /// How often a planned stop looks whether it can go on.
@@ -38,7 +38,7 @@
     settings: Settings,
     registered: Registered,
     calls: Arc<CallTable>,
-    events: Sender<ShellEvent>,
+    events: Sender<RunnerEvent>,
     ready: Arc<AtomicBool>,
     runner: JoinHandle<()>,
     callers: CallerServer,
@@ -177,7 +177,7 @@
         self.admin.close(Some(ADMIN_STOP_LIMIT));
         drop(self.stop_engines);
         self.seeds.close();
-        let _ = self.events.send(ShellEvent::Stop);
+        let _ = self.events.send(RunnerEvent::Stop);
         let _ = self.runner.join();
         self.store_link.close();
         if let Ok(registration) = Arc::try_unwrap(self.registration) {
@@ -189,11 +189,11 @@
 
     fn status(&self) -> Option<StatusReport> {
         let (reply, answer) = bounded(1);
-        self.events.send(ShellEvent::Status(reply)).ok()?;
+        self.events.send(RunnerEvent::Status(reply)).ok()?;
         answer.recv_timeout(Duration::from_secs(1)).ok()
     }
 
     fn send(&self, input: Input) {
-        let _ = self.events.send(ShellEvent::Reducer(input));
+        let _ = self.events.send(RunnerEvent::Reducer(input));
     }
 }
--- a/crates/core/src/peer_link/discovery.rs
+++ b/crates/core/src/peer_link/discovery.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::Clock;
 use crate::peer_link::PeerSender;
-use crate::shell::ShellEvent;
+use crate::shell::RunnerEvent;
 
 /// Time between two questions to one peer for the peers that it knows.
 const ASK_INTERVAL_MS: u64 = 5_000;
@@ -19,7 +19,7 @@
 pub(super) struct Discovery {
     clock: Clock,
     sender: PeerSender,
-    events: Sender<ShellEvent>,
+    events: Sender<RunnerEvent>,
     /// When each peer was last asked for the peers that it knows.
     asked_at_ms: Mutex<BTreeMap<String, u64>>,
 }
@@ -28,7 +28,7 @@
     pub(super) fn new(
         clock: Clock,
         sender: PeerSender,
-        events: Sender<ShellEvent>,
+        events: Sender<RunnerEvent>,
     ) -> Discovery {
         Discovery {
             clock,
@@ -49,7 +49,7 @@
         let names = peers.into_iter().map(|(name, _)| name).collect();
         let event = FleetEvent::PeersFound(names);
         // The runner outlives this thread, so this fails only after a panic there.
-        let _ = self.events.send(ShellEvent::Reducer(Input::Fleet(event)));
+        let _ = self.events.send(RunnerEvent::Reducer(Input::Fleet(event)));
     }
 
     /// Asks a peer that has answered for further peers. It knows the address to answer to
--- a/crates/core/src/peer_link/receiver.rs
+++ b/crates/core/src/peer_link/receiver.rs
@@ -15,7 +15,7 @@
 use crate::peer_link::codec::decode;
 use crate::peer_link::discovery::Discovery;
 use crate::peer_link::snapshots::Snapshots;
-use crate::shell::{CallTable, ShellEvent, forwarded_id, take_forwarded};
+use crate::shell::{CallTable, RunnerEvent, forwarded_id, take_forwarded};
 
 /// Starts the thread that takes what peers send. It ends with the process, since it holds
 /// the network whose messages it takes.
@@ -29,7 +29,7 @@
     sender: PeerSender,
     feed: Arc<ConfigurationFeed>,
     calls: Arc<CallTable>,
-    events: Sender<ShellEvent>,
+    events: Sender<RunnerEvent>,
     read_now: Sender<()>,
 ) -> eyre::Result<()> {
     let discovery = Discovery::new(clock, sender.clone(), events.clone());
@@ -62,7 +62,7 @@
     sender: PeerSender,
     feed: Arc<ConfigurationFeed>,
     calls: Arc<CallTable>,
-    events: Sender<ShellEvent>,
+    events: Sender<RunnerEvent>,
     /// Asks for a read of the registrations.
     read_now: Sender<()>,
 }
@@ -144,7 +144,7 @@
         match decode(body) {
             Ok(message) => {
                 let event = FleetEvent::PeerMessage { from, message };
-                let _ = self.events.send(ShellEvent::Reducer(Input::Fleet(event)));
+                let _ = self.events.send(RunnerEvent::Reducer(Input::Fleet(event)));
             }
             Err(error) => log::warn!("event=bad_message from={from} error={error}"),
         }
@@ -161,6 +161,6 @@
     fn schedule(&self, event: Event) {
         let _ = self
             .events
-            .send(ShellEvent::Reducer(Input::Schedule(event)));
+            .send(RunnerEvent::Reducer(Input::Schedule(event)));
     }
 }
--- a/crates/core/src/peer_link/snapshots.rs
+++ b/crates/core/src/peer_link/snapshots.rs
@@ -13,7 +13,7 @@
 
 use crate::clock::Clock;
 use crate::peer_link::PeerSender;
-use crate::shell::ShellEvent;
+use crate::shell::RunnerEvent;
 
 /// A peer is asked for its configuration when the store has not confirmed the own one for
 /// this long. Longer than the interval of polls, 2 s.
@@ -34,7 +34,7 @@
     clock: Clock,
     sender: PeerSender,
     feed: Arc<ConfigurationFeed>,
-    events: Sender<ShellEvent>,
+    events: Sender<RunnerEvent>,
     /// When a peer was last asked.
     asked_at_ms: AtomicU64,
     told: Mutex<BTreeMap<String, Told>>,
@@ -45,7 +45,7 @@
         clock: Clock,
         sender: PeerSender,
         feed: Arc<ConfigurationFeed>,
-        events: Sender<ShellEvent>,
+        events: Sender<RunnerEvent>,
     ) -> Snapshots {
         Snapshots {
             clock,
@@ -153,7 +153,7 @@
         ];
         for input in inputs {
             // The runner outlives this thread, so this fails only after a panic there.
-            let _ = self.events.send(ShellEvent::Reducer(input));
+            let _ = self.events.send(RunnerEvent::Reducer(input));
         }
     }
 }
--- a/crates/core/src/shell/dispatch.rs
+++ b/crates/core/src/shell/dispatch.rs
@@ -18,7 +18,7 @@
 use crate::clock::Clock;
 use crate::shell::calls::{CallTable, RequestParts};
 use crate::shell::chat;
-use crate::shell::runner::ShellEvent;
+use crate::shell::runner::RunnerEvent;
 use crate::shell::usage_filter::UsageFilter;
 
 /// A call that is sent later than this after the decision is returned as not run. The
@@ -35,7 +35,7 @@
     settings: EndpointSettings,
     client: Arc<dyn EndpointClient>,
     calls: Arc<CallTable>,
-    events: Sender<ShellEvent>,
+    events: Sender<RunnerEvent>,
 }
 
 impl Dispatcher {
@@ -45,7 +45,7 @@
         settings: EndpointSettings,
         client: Arc<dyn EndpointClient>,
         calls: Arc<CallTable>,
-        events: Sender<ShellEvent>,
+        events: Sender<RunnerEvent>,
     ) -> Dispatcher {
         Dispatcher {
             clock,
@@ -178,7 +178,7 @@
         // The runner outlives all calls, so this fails only after a panic there.
         let _ = self
             .events
-            .send(ShellEvent::Reducer(Input::Schedule(event)));
+            .send(RunnerEvent::Reducer(Input::Schedule(event)));
     }
 }
 
@@ -186,7 +186,7 @@
 struct Answer<'a> {
     clock: Clock,
     dispatch: &'a Dispatch,
-    events: Sender<ShellEvent>,
+    events: Sender<RunnerEvent>,
     responder: Option<Responder>,
     /// Whether the head went to the caller.
     begun: bool,
@@ -223,7 +223,7 @@
     fn send(&self, event: Event) {
         let _ = self
             .events
-            .send(ShellEvent::Reducer(Input::Schedule(event)));
+            .send(RunnerEvent::Reducer(Input::Schedule(event)));
     }
 }
 
--- a/crates/core/src/shell/forward.rs
+++ b/crates/core/src/shell/forward.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::shell::calls::{CallTable, RequestParts};
-use crate::shell::runner::ShellEvent;
+use crate::shell::runner::RunnerEvent;
 
 /// Marks the identifiers of calls that peers forwarded. The server counts its own from 1
 /// and never gets this far.
@@ -148,7 +148,7 @@
 pub(crate) struct Forwarder {
     network: Arc<dyn PeerNetwork>,
     calls: Arc<CallTable>,
-    events: Sender<ShellEvent>,
+    events: Sender<RunnerEvent>,
 }
 
 impl Forwarder {
@@ -156,7 +156,7 @@
     pub(crate) fn new(
         network: Arc<dyn PeerNetwork>,
         calls: Arc<CallTable>,
-        events: Sender<ShellEvent>,
+        events: Sender<RunnerEvent>,
     ) -> Forwarder {
         Forwarder {
             network,
@@ -224,7 +224,7 @@
     fn send(&self, event: Event) {
         let _ = self
             .events
-            .send(ShellEvent::Reducer(Input::Schedule(event)));
+            .send(RunnerEvent::Reducer(Input::Schedule(event)));
     }
 }
 
--- a/crates/core/src/shell/intake.rs
+++ b/crates/core/src/shell/intake.rs
@@ -12,13 +12,13 @@
 
 use crate::clock::Clock;
 use crate::shell::calls::{CallTable, RequestParts};
-use crate::shell::runner::ShellEvent;
+use crate::shell::runner::RunnerEvent;
 
 /// Hands requests to the runner.
 pub(crate) struct ShellIntake {
     clock: Clock,
     calls: Arc<CallTable>,
-    events: Sender<ShellEvent>,
+    events: Sender<RunnerEvent>,
     ready: Arc<AtomicBool>,
 }
 
@@ -27,7 +27,7 @@
     pub(crate) fn new(
         clock: Clock,
         calls: Arc<CallTable>,
-        events: Sender<ShellEvent>,
+        events: Sender<RunnerEvent>,
         ready: Arc<AtomicBool>,
     ) -> ShellIntake {
         ShellIntake {
@@ -38,7 +38,7 @@
         }
     }
 
-    fn send(&self, event: ShellEvent) {
+    fn send(&self, event: RunnerEvent) {
         // The runner outlives the server, so this fails only after a panic there.
         let _ = self.events.send(event);
     }
@@ -51,13 +51,13 @@
         }
         let facts = facts(&request);
         let event = match request.operation {
-            Operation::ListModels => ShellEvent::ListModels {
+            Operation::ListModels => RunnerEvent::ListModels {
                 id: request.id,
                 key: facts.key,
             },
             _ => {
                 let event = Event::CallArrived(Box::new(facts.clone()));
-                ShellEvent::Reducer(Input::Schedule(event))
+                RunnerEvent::Reducer(Input::Schedule(event))
             }
         };
         let parts = RequestParts {
@@ -74,7 +74,7 @@
 
     fn caller_gone(&self, id: RequestId) {
         let event = Event::CallerGone { request_id: id };
-        self.send(ShellEvent::Reducer(Input::Schedule(event)));
+        self.send(RunnerEvent::Reducer(Input::Schedule(event)));
     }
 
     fn ready(&self) -> bool {
--- a/crates/core/src/shell/mod.rs
+++ b/crates/core/src/shell/mod.rs
@@ -16,4 +16,4 @@
 pub(crate) use crate::shell::dispatch::Dispatcher;
 pub(crate) use crate::shell::forward::{Forwarder, forwarded_id, take_forwarded};
 pub(crate) use crate::shell::intake::ShellIntake;
-pub(crate) use crate::shell::runner::{Outlets, Runner, ShellEvent, StatusReport};
+pub(crate) use crate::shell::runner::{Outlets, Runner, RunnerEvent, StatusReport};
--- a/crates/core/src/shell/runner.rs
+++ b/crates/core/src/shell/runner.rs
@@ -31,7 +31,7 @@
 const SHARE_WAIT_LIMIT_MS: u64 = 15_000;
 
 /// One input of the runner.
-pub(crate) enum ShellEvent {
+pub(crate) enum RunnerEvent {
     /// For the reducer.
     Reducer(Input),
     /// `GET /v1/models`.
@@ -80,7 +80,7 @@
     reducer: Reducer,
     calls: Arc<CallTable>,
     outlets: Outlets,
-    events: Receiver<ShellEvent>,
+    events: Receiver<RunnerEvent>,
     configuration: Option<Arc<Configuration>>,
     ready: Arc<AtomicBool>,
     /// When the first configuration came into force.
@@ -96,7 +96,7 @@
         reducer: Reducer,
         calls: Arc<CallTable>,
         outlets: Outlets,
-        events: Receiver<ShellEvent>,
+        events: Receiver<RunnerEvent>,
         ready: Arc<AtomicBool>,
     ) -> Runner {
         Runner {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Runs until [`ShellEvent::Stop`].
+    /// Runs until [`RunnerEvent::Stop`].
     pub(crate) fn run(mut self) {
         let mut next_tick_ms = 0;
         loop {
@@ -127,10 +127,10 @@
             }
             let wait = Duration::from_millis(next_tick_ms.saturating_sub(now_ms));
             match self.events.recv_timeout(wait) {
-                Ok(ShellEvent::Reducer(input)) => self.apply(input),
-                Ok(ShellEvent::ListModels { id, key }) => self.list_models(id, key),
-                Ok(ShellEvent::Status(reply)) => self.report(&reply),
-                Ok(ShellEvent::Stop) | Err(RecvTimeoutError::Disconnected) => return,
+                Ok(RunnerEvent::Reducer(input)) => self.apply(input),
+                Ok(RunnerEvent::ListModels { id, key }) => self.list_models(id, key),
+                Ok(RunnerEvent::Status(reply)) => self.report(&reply),
+                Ok(RunnerEvent::Stop) | Err(RecvTimeoutError::Disconnected) => return,
                 Err(RecvTimeoutError::Timeout) => {}
             }
         }
--- a/crates/core/src/store_link/mod.rs
+++ b/crates/core/src/store_link/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::clock::Clock;
 use crate::peer_link::PeerSender;
-use crate::shell::ShellEvent;
+use crate::shell::RunnerEvent;
 use crate::store_link::reader::Reader;
 
 /// What the store threads share.
@@ -26,13 +26,13 @@
 struct Context {
     clock: Clock,
     store: Arc<dyn Store>,
-    events: Sender<ShellEvent>,
+    events: Sender<RunnerEvent>,
 }
 
 impl Context {
     fn send(&self, event: FleetEvent) {
         // The runner outlives these threads, so this fails only after a panic there.
-        let _ = self.events.send(ShellEvent::Reducer(Input::Fleet(event)));
+        let _ = self.events.send(RunnerEvent::Reducer(Input::Fleet(event)));
     }
 }
 
@@ -58,7 +58,7 @@
         feed: Arc<ConfigurationFeed>,
         peers: PeerSender,
         own: Incarnation,
-        events: Sender<ShellEvent>,
+        events: Sender<RunnerEvent>,
     ) -> eyre::Result<StoreLink> {
         let context = Context {
             clock,
--- a/crates/core/src/store_link/reader.rs
+++ b/crates/core/src/store_link/reader.rs
@@ -14,7 +14,7 @@
 use jayreel_store::{ConfigurationFeed, Registration, home_record, registrations};
 
 use crate::peer_link::PeerSender;
-use crate::shell::ShellEvent;
+use crate::shell::RunnerEvent;
 use crate::store_link::Context;
 use crate::store_link::writer::report_own_successor;
 
@@ -69,7 +69,7 @@
             let _ = self
                 .context
                 .events
-                .send(ShellEvent::Reducer(Input::Schedule(event)));
+                .send(RunnerEvent::Reducer(Input::Schedule(event)));
         }
         let renewed_at_ms = self
             .registration
