--- a/crates/core/src/instance/base.rs
+++ b/crates/core/src/instance/base.rs
@@ -25,7 +25,8 @@
 use crate::observe::Observer;
 use crate::peer_link::{self, PeerSender, Seeds};
 use crate::shell::{
-    CallTable, Dispatcher, Forwarder, Outlets, Runner, RunnerEvent, ShellIntake,
+    CallTable, Dispatcher, EffectHandlers, Forwarder, RequestSubmitter, Runner,
+    RunnerEvent,
 };
 use crate::store_link::StoreLink;
 
@@ -165,7 +166,7 @@
             engines_stopped,
         )?;
         let network = Arc::clone(&self.network) as Arc<dyn PeerNetwork>;
-        let outlets = Outlets {
+        let handlers = EffectHandlers {
             dispatcher: Dispatcher::new(
                 self.clock,
                 self.settings.endpoints.clone(),
@@ -192,7 +193,7 @@
                 self.clock,
             ),
             Arc::clone(&self.calls),
-            outlets,
+            handlers,
             self.inbox.clone(),
             Arc::clone(&self.ready),
         );
@@ -248,7 +249,7 @@
 
     /// Serves callers.
     pub(super) fn start_callers(&self) -> eyre::Result<CallerServer> {
-        let intake = ShellIntake::new(
+        let intake = RequestSubmitter::new(
             self.clock,
             Arc::clone(&self.calls),
             self.events.clone(),
--- a/crates/core/src/peer_link/receiver.rs
+++ b/crates/core/src/peer_link/receiver.rs
@@ -15,7 +15,7 @@
 use crate::peer_link::codec::decode;
 use crate::peer_link::discovery::Discovery;
 use crate::peer_link::snapshots::Snapshots;
-use crate::shell::{CallTable, RunnerEvent, forwarded_id, take_forwarded};
+use crate::shell::{CallTable, RunnerEvent, forwarded_request_id, insert_forwarded_call};
 
 /// Starts the thread that takes what peers send. It ends with the process, since it holds
 /// the network whose messages it takes.
@@ -77,7 +77,7 @@
                 answer,
             } => {
                 let now_ms = self.clock.now_ms();
-                match take_forwarded(id, &call, answer, &self.calls, now_ms) {
+                match insert_forwarded_call(id, &call, answer, &self.calls, now_ms) {
                     Ok(facts) => self.schedule(Event::CallArrived(Box::new(facts))),
                     Err(error) => {
                         log::warn!("event=bad_forward from={from} error={error}");
@@ -86,7 +86,7 @@
             }
             Inbound::ForwardCancelled { id } => {
                 self.schedule(Event::CallerGone {
-                    request_id: forwarded_id(id),
+                    request_id: forwarded_request_id(id),
                 });
             }
             Inbound::Discovered {
--- a/crates/core/src/shell/calls.rs
+++ b/crates/core/src/shell/calls.rs
@@ -1,4 +1,9 @@
-//! Requests that have not been answered completely.
+//! Table of the calls whose response is not complete.
+//!
+//! Holds the request bodies and the responders, so that the reducer handles only request
+//! ids. The responder is what the response is sent through; the thread that runs a call
+//! takes it out of the table, and while it is out, a refusal or a cancellation from the
+//! reducer is noted in the table instead.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -8,34 +13,35 @@
 use jayreel_scheduler::event::CallArrived;
 use jayreel_server::{Operation, Responder};
 
-/// The parts of a request that an endpoint needs. Holds no key.
+/// The parts of a request that are sent to an endpoint or to another instance. The
+/// caller's key is not among them, so it cannot leak that way.
 pub(crate) struct RequestParts {
     /// HTTP method.
     pub(crate) method: String,
-    /// Path with query.
+    /// Path with the query string.
     pub(crate) path: String,
-    /// What the caller asks for.
+    /// The request as the server parsed it.
     pub(crate) operation: Operation,
-    /// Headers to pass on.
+    /// Headers of the caller that are sent on to the endpoint.
     pub(crate) headers: Vec<(String, String)>,
-    /// The complete body.
+    /// The body as the caller sent it.
     pub(crate) body: Vec<u8>,
 }
 
 struct OpenCall {
     parts: Arc<RequestParts>,
-    facts: CallArrived,
+    arrived: CallArrived,
     arrived_at_ms: u64,
-    /// Absent while a thread holds it for an attempt to answer.
+    /// `None` while a thread holds it for an attempt to serve the call.
     responder: Option<Responder>,
-    /// Present while a call to an endpoint runs.
+    /// Set while a request to an endpoint is in progress.
     cancel: Option<Box<dyn CancelHandle>>,
     cancelled: bool,
-    /// A refusal that came while a thread held the responder.
+    /// A refusal that the reducer issued while a thread held the responder.
     refusal: Option<Refusal>,
 }
 
-/// All open calls of the instance. Shared by the threads of the shell.
+/// All open calls of the instance, shared by the threads that serve them.
 #[derive(Default)]
 pub(crate) struct CallTable {
     calls: Mutex<HashMap<RequestId, OpenCall>>,
@@ -46,23 +52,23 @@
         self.calls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Number of calls without a complete answer.
+    /// Number of open calls, including those that peers forwarded here.
     pub(crate) fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Adds a request.
+    /// Adds a call under `arrived.request_id`.
     pub(crate) fn insert(
         &self,
         now_ms: u64,
         parts: RequestParts,
         responder: Responder,
-        facts: CallArrived,
+        arrived: CallArrived,
     ) {
-        let id = facts.request_id;
+        let id = arrived.request_id;
         let call = OpenCall {
             parts: Arc::new(parts),
-            facts,
+            arrived,
             arrived_at_ms: now_ms,
             responder: Some(responder),
             cancel: None,
@@ -72,29 +78,35 @@
         self.lock().insert(id, call);
     }
 
-    /// The facts of a call that is not over.
-    pub(crate) fn facts(&self, id: RequestId) -> Option<CallArrived> {
-        self.lock().get(&id).map(|call| call.facts.clone())
+    /// The arrival event of an open call, which is sent along when the call is forwarded.
+    pub(crate) fn arrived(&self, id: RequestId) -> Option<CallArrived> {
+        self.lock().get(&id).map(|call| call.arrived.clone())
     }
 
-    /// The hash of the caller's key and the time of arrival.
+    /// Hash of the caller's key and time of arrival, in milliseconds of the instance's clock.
+    /// `None` if the call is no longer open.
     pub(crate) fn origin(&self, id: RequestId) -> Option<(Option<KeyHash>, u64)> {
         self.lock()
             .get(&id)
-            .map(|call| (call.facts.key, call.arrived_at_ms))
+            .map(|call| (call.arrived.key, call.arrived_at_ms))
     }
 
-    /// Takes the responder for an attempt to answer. None if the call is over or was
-    /// cancelled. [`CallTable::give_back`] or [`CallTable::remove`] must follow.
-    pub(crate) fn begin(&self, id: RequestId) -> Option<(Arc<RequestParts>, Responder)> {
+    /// Takes the responder out of the table for an attempt to serve the call. `None` if the
+    /// call is no longer open or was cancelled. The thread must call
+    /// [`CallTable::return_responder`] or [`CallTable::remove`] afterwards.
+    pub(crate) fn take_responder(
+        &self,
+        id: RequestId,
+    ) -> Option<(Arc<RequestParts>, Responder)> {
         let mut calls = self.lock();
         let call = calls.get_mut(&id).filter(|call| !call.cancelled)?;
         let responder = call.responder.take()?;
         Some((Arc::clone(&call.parts), responder))
     }
 
-    /// Gives the responder back after an attempt that sent nothing to the caller.
-    pub(crate) fn give_back(&self, id: RequestId, responder: Responder) {
+    /// Puts the responder back after an attempt that sent nothing to the caller. Sends the
+    /// refusal that the reducer issued in the meantime, if there is one.
+    pub(crate) fn return_responder(&self, id: RequestId, responder: Responder) {
         let mut calls = self.lock();
         let Some(call) = calls.get_mut(&id) else {
             return;
@@ -110,16 +122,16 @@
         }
     }
 
-    /// Keeps the handle that cancels the running call. A call that was cancelled before
-    /// is cancelled at once.
-    pub(crate) fn set_cancel(&self, id: RequestId, handle: Box<dyn CancelHandle>) {
+    /// Stores the handle that cancels the request to the endpoint. If the call was cancelled
+    /// before or is no longer open, the request is cancelled at once.
+    pub(crate) fn set_cancel_handle(&self, id: RequestId, handle: Box<dyn CancelHandle>) {
         match self.lock().get_mut(&id) {
             Some(call) if !call.cancelled => call.cancel = Some(handle),
             _ => handle.cancel(),
         }
     }
 
-    /// Cancels the running call.
+    /// Cancels the request to the endpoint, or prevents it if it has not begun.
     pub(crate) fn cancel(&self, id: RequestId) {
         let handle = match self.lock().get_mut(&id) {
             Some(call) => {
@@ -133,13 +145,13 @@
         }
     }
 
-    /// Removes a call whose answer is complete or broken off.
+    /// Removes a call whose response is complete or was aborted.
     pub(crate) fn remove(&self, id: RequestId) {
         self.lock().remove(&id);
     }
 
-    /// Refuses a call. If a thread is about to answer it, the refusal is sent once the
-    /// thread gives up, unless the answer has begun.
+    /// Refuses a call. If a thread holds the responder, the refusal is sent when the thread
+    /// returns it; it is dropped if the thread has begun to send a response.
     pub(crate) fn refuse(&self, id: RequestId, refusal: &Refusal) {
         let mut calls = self.lock();
         let Some(call) = calls.get_mut(&id) else {
@@ -155,7 +167,7 @@
         }
     }
 
-    /// Answers a call with a complete JSON body.
+    /// Sends a complete response and removes the call.
     pub(crate) fn reply(
         &self,
         id: RequestId,
--- a/crates/core/src/shell/chat.rs
+++ b/crates/core/src/shell/chat.rs
@@ -1,9 +1,10 @@
-//! The body of a chat completion as the engine gets it.
+//! Rewrites the body of a chat completion for the engine.
 
 use serde_json::{Map, Value, json};
 
-/// Sets the generation limit and the priority, and asks a streaming engine for usage.
-/// Returns the body unchanged if it is not a JSON object.
+/// Sets the limit of generated tokens (if there is one) and the priority in the caller's
+/// body. For a stream, also requests a final event with the token usage, by which program
+/// budgets are charged. Returns the body unchanged if it is not a JSON object.
 pub(crate) fn engine_body(
     body: &[u8],
     stream: bool,
@@ -26,12 +27,13 @@
     Value::Object(fields).to_string().into_bytes()
 }
 
-/// Whether the caller asked for the usage record at the end of a stream.
-pub(crate) fn asks_for_usage(body: &[u8]) -> bool {
+/// Whether the caller itself requested the usage event at the end of a stream.
+pub(crate) fn requests_usage(body: &[u8]) -> bool {
     serde_json::from_slice::<Value>(body)
         .is_ok_and(|value| value["stream_options"]["include_usage"] == json!(true))
 }
 
+/// Writes the limit under the newer name of the field if the caller used that one.
 fn set_max_tokens(fields: &mut Map<String, Value>, max_tokens: u64) {
     let field = match fields.contains_key("max_completion_tokens") {
         true => "max_completion_tokens",
--- a/crates/core/src/shell/dispatch.rs
+++ b/crates/core/src/shell/dispatch.rs
@@ -1,4 +1,4 @@
-//! Runs calls against endpoints, each on a thread of its own.
+//! Sends calls to endpoints and relays the responses, with one thread for each call.
 
 use std::sync::Arc;
 use std::thread;
@@ -21,14 +21,16 @@
 use crate::shell::runner::RunnerEvent;
 use crate::shell::usage_filter::UsageFilter;
 
-/// A call that is sent later than this after the decision is returned as not run. The
-/// margin of loans of a customer's rate covers this time.
+/// A call whose thread reaches the endpoint client later than this after the reducer's
+/// decision is not sent, and fails as not run. The process may have been paused for long in
+/// between, and the safety margin of rate loans covers only this delay.
 const DISPATCH_DEADLINE_MS: u64 = 1_000;
 
-/// Stack of a call's thread. Calls keep their bodies on the heap.
+/// Stack size of a call's thread. Small, because there may be many and they keep the bodies
+/// on the heap.
 const CALL_STACK_BYTES: usize = 256 * 1024;
 
-/// Starts calls to endpoints.
+/// Starts the threads that send calls to endpoints.
 #[derive(Clone)]
 pub(crate) struct Dispatcher {
     clock: Clock,
@@ -39,7 +41,7 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher that reports to `events`.
+    /// A dispatcher that reports the progress and outcome of each call over `events`.
     pub(crate) fn new(
         clock: Clock,
         settings: EndpointSettings,
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Runs the call on a new thread.
+    /// Sends the call on a thread of its own and returns at once.
     pub(crate) fn start(&self, dispatch: Dispatch) {
         let request_id = dispatch.request_id;
         let dispatcher = self.clone();
@@ -74,39 +76,41 @@
 
     fn run(&self, dispatch: &Dispatch) {
         let id = dispatch.request_id;
-        let Some((parts, responder)) = self.calls.begin(id) else {
+        let Some((parts, responder)) = self.calls.take_responder(id) else {
             return self.fail(id, not_run("the call was cancelled before it was sent"));
         };
-        let mut answer = Answer {
+        let mut relay = ResponseRelay {
             clock: self.clock,
             dispatch,
             events: self.events.clone(),
             responder: Some(responder),
-            history: history_header(&parts),
-            begun: false,
+            history_header: history_header(&parts),
+            head_sent: false,
             first_token_seen: false,
             usage: None,
-            filter: hides_usage(&parts).then(UsageFilter::default),
+            usage_filter: hides_usage(&parts).then(UsageFilter::default),
         };
-        let request = self.request(dispatch, &parts);
+        let request = self.call_request(dispatch, &parts);
         let calls = &self.calls;
-        let mut register = |handle| calls.set_cancel(id, handle);
-        let outcome = match answer.is_late() {
+        let mut register = |handle| calls.set_cancel_handle(id, handle);
+        let outcome = match relay.is_late() {
             true => Err(not_run("the process was paused before the call was sent")),
-            false => self.client.call(&request, &mut register, &mut answer),
+            false => self.client.call(&request, &mut register, &mut relay),
         };
         match outcome {
-            Ok(()) => self.finish(id, answer),
-            Err(failure) => self.end_failed(id, answer, failure),
+            Ok(()) => self.finish(id, relay),
+            Err(failure) => self.end_failed(id, relay, failure),
         }
     }
 
-    fn request(&self, dispatch: &Dispatch, parts: &RequestParts) -> CallRequest {
+    /// The request to the endpoint. The body of a chat completion is rewritten; other bodies
+    /// are sent as they are.
+    fn call_request(&self, dispatch: &Dispatch, parts: &RequestParts) -> CallRequest {
         let (body, repeatable, progress_timeout_ms) = match &parts.operation {
-            Operation::ChatCompletion(facts) => (
+            Operation::ChatCompletion(chat) => (
                 chat::engine_body(
                     &parts.body,
-                    facts.stream,
+                    chat.stream,
                     dispatch.max_tokens,
                     dispatch.priority,
                 ),
@@ -135,14 +139,14 @@
         }
     }
 
-    fn finish(&self, id: RequestId, mut answer: Answer<'_>) {
-        let usage = answer
+    fn finish(&self, id: RequestId, mut relay: ResponseRelay<'_>) {
+        let usage = relay
             .usage
             .take()
             .and_then(UsageReader::finish)
             .map(token_usage);
-        answer.flush();
-        if let Some(responder) = answer.responder.take() {
+        relay.flush();
+        if let Some(responder) = relay.responder.take() {
             responder.close();
         }
         self.calls.remove(id);
@@ -152,9 +156,16 @@
         });
     }
 
-    fn end_failed(&self, id: RequestId, mut answer: Answer<'_>, failure: CallFailure) {
-        match (answer.begun, answer.responder.take()) {
-            (false, Some(responder)) => self.calls.give_back(id, responder),
+    /// Ends a failed call. If nothing was sent to the caller yet, the responder goes back to
+    /// the table, so that the reducer can retry or refuse the call.
+    fn end_failed(
+        &self,
+        id: RequestId,
+        mut relay: ResponseRelay<'_>,
+        failure: CallFailure,
+    ) {
+        match (relay.head_sent, relay.responder.take()) {
+            (false, Some(responder)) => self.calls.return_responder(id, responder),
             (_, responder) => {
                 if let Some(responder) = responder {
                     responder.abort();
@@ -182,29 +193,32 @@
     }
 }
 
-/// Passes an answer on to the caller as it arrives.
-struct Answer<'a> {
+/// Relays the endpoint's response to the caller as it arrives.
+struct ResponseRelay<'a> {
     clock: Clock,
     dispatch: &'a Dispatch,
     events: Sender<RunnerEvent>,
     responder: Option<Responder>,
-    /// Whether the head went to the caller.
-    begun: bool,
+    /// Whether the status and the headers were sent to the caller.
+    head_sent: bool,
     first_token_seen: bool,
-    /// Present once the head of the answer arrived.
+    /// Extracts the token usage from the body. Set when the headers have arrived.
     usage: Option<UsageReader>,
-    /// Present if the caller is not to see the usage event.
-    filter: Option<UsageFilter>,
-    /// Hash of the conversation so far, for the caller to send back.
-    history: Option<(String, String)>,
+    /// Set if the caller did not request the usage event of a stream.
+    usage_filter: Option<UsageFilter>,
+    /// The `Jayreel-History` header: the hash of the conversation, which the caller may send
+    /// back with its next request. Set for chat completions.
+    history_header: Option<(String, String)>,
 }
 
-impl Answer<'_> {
+impl ResponseRelay<'_> {
+    /// Whether [`DISPATCH_DEADLINE_MS`] have passed since the reducer's decision.
     fn is_late(&self) -> bool {
         self.clock.now_ms() > self.dispatch.decided_at_ms + DISPATCH_DEADLINE_MS
     }
 
-    fn pass_on(&mut self, bytes: &[u8]) -> bool {
+    /// Returns whether the caller is still connected.
+    fn send_chunk(&mut self, bytes: &[u8]) -> bool {
         match &mut self.responder {
             Some(_) if bytes.is_empty() => true,
             Some(responder) => responder.chunk(bytes).is_ok(),
@@ -212,11 +226,11 @@
         }
     }
 
-    /// Passes on what the filter still holds.
+    /// Sends what the usage filter still holds at the end of the stream.
     fn flush(&mut self) {
-        if let Some(filter) = &mut self.filter {
+        if let Some(filter) = &mut self.usage_filter {
             let rest = filter.finish();
-            self.pass_on(&rest);
+            self.send_chunk(&rest);
         }
     }
 
@@ -227,7 +241,7 @@
     }
 }
 
-impl CallObserver for Answer<'_> {
+impl CallObserver for ResponseRelay<'_> {
     fn sent(&mut self) {
         self.send(Event::CallSent {
             request_id: self.dispatch.request_id,
@@ -237,14 +251,15 @@
     fn head(&mut self, head: &CallHead) -> bool {
         let mut headers = head.headers.clone();
         headers.extend(self.dispatch.response_headers.iter().cloned());
-        headers.extend(self.history.take());
+        headers.extend(self.history_header.take());
         let content_type = headers.iter().find(|(name, _)| name == "content-type");
         let content_type = content_type.map_or("", |(_, value)| value);
         self.usage = Some(UsageReader::new(content_type));
-        if self.filter.is_some() {
+        if self.usage_filter.is_some() {
+            // The filter may shorten the body.
             headers.retain(|(name, _)| name != "content-length");
         }
-        self.begun = true;
+        self.head_sent = true;
         match &mut self.responder {
             Some(responder) => responder.head(head.status, &headers).is_ok(),
             None => false,
@@ -261,30 +276,31 @@
         if let Some(usage) = &mut self.usage {
             usage.push(bytes);
         }
-        match &mut self.filter {
+        match &mut self.usage_filter {
             Some(filter) => {
-                let passed = filter.push(bytes);
-                self.pass_on(&passed)
+                let output = filter.push(bytes);
+                self.send_chunk(&output)
             }
-            None => self.pass_on(bytes),
+            None => self.send_chunk(bytes),
         }
     }
 }
 
+/// Whether the call is a stream whose caller did not request the usage event.
 fn hides_usage(parts: &RequestParts) -> bool {
     match &parts.operation {
-        Operation::ChatCompletion(facts) if facts.stream => {
-            !chat::asks_for_usage(&parts.body)
+        Operation::ChatCompletion(chat) if chat.stream => {
+            !chat::requests_usage(&parts.body)
         }
         _ => false,
     }
 }
 
 fn history_header(parts: &RequestParts) -> Option<(String, String)> {
-    let Operation::ChatCompletion(facts) = &parts.operation else {
+    let Operation::ChatCompletion(chat) = &parts.operation else {
         return None;
     };
-    let hash = facts.prefix_hashes.last()?;
+    let hash = chat.prefix_hashes.last()?;
     Some(("jayreel-history".to_string(), format!("{hash:016x}")))
 }
 
--- a/crates/core/src/shell/forward.rs
+++ b/crates/core/src/shell/forward.rs
@@ -1,4 +1,9 @@
-//! Calls that another instance serves, in both directions.
+//! Forwarding of calls between instances, in both directions.
+//!
+//! The instance that owns a program serves its calls. An instance that receives a call for
+//! a program of another owner forwards it with a [`Forwarder`] and relays the response to
+//! the caller. On the other side, [`insert_forwarded_call`] adds such a call to the call
+//! table with a responder that sends the response back over the peer connection.
 
 use std::sync::Arc;
 use std::thread;
@@ -18,37 +23,40 @@
 use crate::shell::calls::{CallTable, RequestParts};
 use crate::shell::runner::RunnerEvent;
 
-/// Marks the identifiers of calls that peers forwarded. The server counts its own from 1
-/// and never gets this far.
+/// Set in the request ids of calls that peers forwarded, so that they differ from those
+/// of this instance's own server, which counts from 1 and never reaches this bit.
 const FORWARDED_BIT: u64 = 1 << 63;
 
-/// What the serving instance needs to know beyond the request itself.
+/// What the owner needs in addition to the HTTP request: the parsed request. Encoded as JSON
+/// in [`ForwardedCall::facts`], so the names of the fields are part of the peer protocol.
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-struct Facts {
+struct ForwardedParams {
     arrived: CallArrived,
     stream: bool,
 }
 
-/// The identifier of a call that a peer forwarded here.
-pub(crate) fn forwarded_id(id: ForwardId) -> RequestId {
+/// The request id, in this instance, of a call that a peer forwarded here.
+pub(crate) fn forwarded_request_id(id: ForwardId) -> RequestId {
     RequestId(id.0 | FORWARDED_BIT)
 }
 
-/// Adds a call that a peer forwarded to the table, and returns its facts.
+/// Adds a call that a peer forwarded to the call table, and returns its arrival event for
+/// the reducer.
 ///
 /// # Errors
 ///
-/// If the facts cannot be read. The call is then broken off as not run.
-pub(crate) fn take_forwarded(
+/// If the parameters of the call cannot be decoded. The peer then gets a refusal that says
+/// that the call was not run.
+pub(crate) fn insert_forwarded_call(
     id: ForwardId,
     call: &ForwardedCall,
     answer: AnswerSender,
     calls: &CallTable,
     now_ms: u64,
 ) -> Result<CallArrived, serde_json::Error> {
-    let facts: Facts = match serde_json::from_slice(&call.facts) {
-        Ok(facts) => facts,
+    let params: ForwardedParams = match serde_json::from_slice(&call.facts) {
+        Ok(params) => params,
         Err(error) => {
             let refusal = Refusal::not_run(
                 RefusalReason::InvalidRequest,
@@ -58,20 +66,20 @@
             return Err(error);
         }
     };
-    let request_id = forwarded_id(id);
+    let request_id = forwarded_request_id(id);
     let arrived = CallArrived {
         request_id,
         was_forwarded: true,
-        ..facts.arrived.clone()
+        ..params.arrived.clone()
     };
     let parts = RequestParts {
         method: call.method.clone(),
         path: call.path.clone(),
-        operation: operation(&facts),
+        operation: operation(&params),
         headers: call.headers.clone(),
         body: call.body.clone(),
     };
-    let sink = ForwardSink { answer };
+    let sink = PeerResponseSink { answer };
     calls.insert(
         now_ms,
         parts,
@@ -81,8 +89,9 @@
     Ok(arrived)
 }
 
-fn operation(facts: &Facts) -> Operation {
-    match &facts.arrived.operation {
+/// Rebuilds the parsed request from the parameters that were sent along.
+fn operation(params: &ForwardedParams) -> Operation {
+    match &params.arrived.operation {
         CallOperation::Chat {
             model,
             max_tokens,
@@ -90,7 +99,7 @@
             prefix_hashes,
         } => Operation::ChatCompletion(ChatFacts {
             model: model.clone(),
-            stream: facts.stream,
+            stream: params.stream,
             max_tokens: *max_tokens,
             prompt_bound_tokens: *prompt_bound_tokens,
             prefix_hashes: prefix_hashes.clone(),
@@ -105,12 +114,12 @@
     }
 }
 
-/// Sends an answer back to the instance that forwarded the call.
-struct ForwardSink {
+/// Sends a response to the instance that forwarded the call.
+struct PeerResponseSink {
     answer: AnswerSender,
 }
 
-impl AnswerSink for ForwardSink {
+impl AnswerSink for PeerResponseSink {
     fn head(
         &mut self,
         status: u16,
@@ -127,7 +136,8 @@
         self.answer.chunk(bytes).map_err(|_| ResponderClosed)
     }
 
-    /// Waits for the peer: forwarded answers are only sent by threads that may block.
+    /// Blocks while the peer is slow to receive. Responses to forwarded calls are sent only by
+    /// threads that may block.
     fn try_chunk(&mut self, bytes: &[u8]) -> Result<bool, ResponderClosed> {
         self.chunk(bytes).map(|()| true)
     }
@@ -136,6 +146,7 @@
         let _ = self.answer.close();
     }
 
+    /// Dropping the sender without closing it aborts the response.
     fn abort(self: Box<Self>) {}
 
     fn refuse(self: Box<Self>, refusal: &Refusal) {
@@ -143,7 +154,7 @@
     }
 }
 
-/// Passes calls on to the instances that serve them.
+/// Sends calls to the instances that own their programs and relays the responses.
 #[derive(Clone)]
 pub(crate) struct Forwarder {
     network: Arc<dyn PeerNetwork>,
@@ -152,7 +163,7 @@
 }
 
 impl Forwarder {
-    /// A forwarder that reports to `events`.
+    /// A forwarder that reports the outcome of each call to the runner over `events`.
     pub(crate) fn new(
         network: Arc<dyn PeerNetwork>,
         calls: Arc<CallTable>,
@@ -165,7 +176,7 @@
         }
     }
 
-    /// Forwards the call on a new thread.
+    /// Forwards the call on a thread of its own and returns at once.
     pub(crate) fn start(&self, id: RequestId, to: Incarnation) {
         let forwarder = self.clone();
         let spawned = thread::Builder::new()
@@ -178,31 +189,36 @@
     }
 
     fn run(&self, id: RequestId, to: &Incarnation) {
-        let Some((parts, responder)) = self.calls.begin(id) else {
+        let Some((parts, responder)) = self.calls.take_responder(id) else {
             let message = "the call was cancelled before it was forwarded".to_string();
             return self.fail(id, Ran::No, RefusalReason::CallerGone, message);
         };
-        let Some(call) = self.outgoing(id, &parts) else {
-            self.calls.give_back(id, responder);
+        let Some(call) = self.forwarded_call(id, &parts) else {
+            self.calls.return_responder(id, responder);
             let message = "the call cannot be forwarded".to_string();
             return self.fail(id, Ran::No, RefusalReason::OwnerUnavailable, message);
         };
         let mut answer = self.network.forward(to, call);
-        let mut passing = Passing {
+        let mut relay = ForwardedResponseRelay {
             forwarder: self,
             id,
-            begun: false,
+            head_sent: false,
         };
         let mut responder = Some(responder);
         while let (Some(part), Some(open)) = (answer.next_part(), responder.take()) {
-            responder = passing.pass(part, open);
+            responder = relay.relay(part, open);
         }
     }
 
-    fn outgoing(&self, id: RequestId, parts: &RequestParts) -> Option<ForwardedCall> {
-        let arrived = self.calls.facts(id)?;
+    /// `None` if the call is no longer open or cannot be encoded.
+    fn forwarded_call(
+        &self,
+        id: RequestId,
+        parts: &RequestParts,
+    ) -> Option<ForwardedCall> {
+        let arrived = self.calls.arrived(id)?;
         let stream = matches!(&parts.operation, Operation::ChatCompletion(f) if f.stream);
-        let facts = serde_json::to_vec(&Facts { arrived, stream }).ok()?;
+        let facts = serde_json::to_vec(&ForwardedParams { arrived, stream }).ok()?;
         Some(ForwardedCall {
             method: parts.method.clone(),
             path: parts.path.clone(),
@@ -228,20 +244,20 @@
     }
 }
 
-/// Passes the parts of one answer on to the caller.
-struct Passing<'a> {
+/// Relays the parts of one forwarded response to the caller.
+struct ForwardedResponseRelay<'a> {
     forwarder: &'a Forwarder,
     id: RequestId,
-    /// Whether the head went to the caller.
-    begun: bool,
+    /// Whether the status and the headers were sent to the caller.
+    head_sent: bool,
 }
 
-impl Passing<'_> {
-    /// Passes one part on. Returns the responder if more parts may follow.
-    fn pass(&mut self, part: AnswerPart, mut responder: Responder) -> Option<Responder> {
+impl ForwardedResponseRelay<'_> {
+    /// Sends one part to the caller. Returns the responder if more parts may follow.
+    fn relay(&mut self, part: AnswerPart, mut responder: Responder) -> Option<Responder> {
         let sent = match part {
             AnswerPart::Head(head) => {
-                self.begun = true;
+                self.head_sent = true;
                 responder.head(head.status, &head.headers)
             }
             AnswerPart::Chunk(bytes) => responder.chunk(&bytes),
@@ -278,17 +294,18 @@
         None
     }
 
-    /// An answer that has not begun can still be refused by the reducer.
+    /// Handles a failed connection to the owner. If nothing was sent to the caller yet, the
+    /// responder goes back to the table, so that the reducer can still refuse the call.
     fn fail(&self, responder: Responder, failure: PeerFailure) -> Option<Responder> {
         let ran = match failure.reached {
             Reached::No => Ran::No,
             Reached::Possible => Ran::Unknown,
         };
-        if self.begun {
+        if self.head_sent {
             responder.abort();
             self.forwarder.calls.remove(self.id);
         } else {
-            self.forwarder.calls.give_back(self.id, responder);
+            self.forwarder.calls.return_responder(self.id, responder);
         }
         let reason = RefusalReason::OwnerUnavailable;
         self.forwarder.fail(self.id, ran, reason, failure.message);
--- a/crates/core/src/shell/intake.rs
+++ b/crates/core/src/shell/intake.rs
@@ -1,4 +1,4 @@
-//! Turns requests of the server into events.
+//! Converts requests from the callers' HTTP server into events for the runner.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,23 +14,26 @@
 use crate::shell::calls::{CallTable, RequestParts};
 use crate::shell::runner::RunnerEvent;
 
-/// Hands requests to the runner.
-pub(crate) struct ShellIntake {
+/// Registers each request in the call table and sends the runner an event for it.
+///
+/// Shared by the connection threads of the callers' server.
+pub(crate) struct RequestSubmitter {
     clock: Clock,
     calls: Arc<CallTable>,
     events: Sender<RunnerEvent>,
     ready: Arc<AtomicBool>,
 }
 
-impl ShellIntake {
-    /// An intake that is ready while `ready` is set.
+impl RequestSubmitter {
+    /// A submitter that reports readiness while `ready` is set. The runner sets the flag, and
+    /// a planned stop clears it.
     pub(crate) fn new(
         clock: Clock,
         calls: Arc<CallTable>,
         events: Sender<RunnerEvent>,
         ready: Arc<AtomicBool>,
-    ) -> ShellIntake {
-        ShellIntake {
+    ) -> RequestSubmitter {
+        RequestSubmitter {
             clock,
             calls,
             events,
@@ -39,24 +42,24 @@
     }
 
     fn send(&self, event: RunnerEvent) {
-        // The runner outlives the server, so this fails only after a panic there.
+        // The runner outlives the server, so this fails only after a panic in the runner.
         let _ = self.events.send(event);
     }
 }
 
-impl Intake for ShellIntake {
+impl Intake for RequestSubmitter {
     fn submit(&self, request: IncomingRequest) {
         if let Err(refusal) = check_history(&request) {
             return request.responder.refuse(&refusal);
         }
-        let facts = facts(&request);
+        let arrived = call_arrived(&request);
         let event = match request.operation {
             Operation::ListModels => RunnerEvent::ListModels {
                 id: request.id,
-                key: facts.key,
+                key: arrived.key,
             },
             _ => {
-                let event = Event::CallArrived(Box::new(facts.clone()));
+                let event = Event::CallArrived(Box::new(arrived.clone()));
                 RunnerEvent::Reducer(Input::Schedule(event))
             }
         };
@@ -68,7 +71,7 @@
             body: request.body,
         };
         self.calls
-            .insert(self.clock.now_ms(), parts, request.responder, facts);
+            .insert(self.clock.now_ms(), parts, request.responder, arrived);
         self.send(event);
     }
 
@@ -82,10 +85,13 @@
     }
 }
 
-/// A caller that sends the hash of its last request's messages back is told if this
-/// request does not continue them.
+/// Refuses a chat completion whose `Jayreel-History` header does not match.
+///
+/// The header carries the hash of the conversation that an earlier response returned. It
+/// must be the hash of a prefix of this request's messages; a mismatch means that the
+/// caller changed or lost part of the conversation. Requests without the header pass.
 fn check_history(request: &IncomingRequest) -> Result<(), Refusal> {
-    let (Operation::ChatCompletion(facts), Some(text)) =
+    let (Operation::ChatCompletion(chat), Some(text)) =
         (&request.operation, &request.headers.history)
     else {
         return Ok(());
@@ -96,7 +102,7 @@
             "Jayreel-History is not a hash that an answer carried",
         ));
     };
-    match facts.prefix_hashes.contains(&hash) {
+    match chat.prefix_hashes.contains(&hash) {
         true => Ok(()),
         false => Err(Refusal::not_run(
             RefusalReason::HistoryMismatch,
@@ -105,7 +111,8 @@
     }
 }
 
-fn facts(request: &IncomingRequest) -> CallArrived {
+/// Describes the request to the reducer, without its body and with its key only as a hash.
+fn call_arrived(request: &IncomingRequest) -> CallArrived {
     let headers = &request.headers;
     CallArrived {
         request_id: request.id,
@@ -117,17 +124,17 @@
         epoch: headers.epoch.clone(),
         idempotency_key: headers.idempotency_key.clone(),
         was_forwarded: false,
-        operation: operation(request),
+        operation: call_operation(request),
     }
 }
 
-fn operation(request: &IncomingRequest) -> CallOperation {
+fn call_operation(request: &IncomingRequest) -> CallOperation {
     match &request.operation {
-        Operation::ChatCompletion(facts) => CallOperation::Chat {
-            model: facts.model.clone(),
-            max_tokens: facts.max_tokens,
-            prompt_bound_tokens: facts.prompt_bound_tokens,
-            prefix_hashes: facts.prefix_hashes.clone(),
+        Operation::ChatCompletion(chat) => CallOperation::Chat {
+            model: chat.model.clone(),
+            max_tokens: chat.max_tokens,
+            prompt_bound_tokens: chat.prompt_bound_tokens,
+            prefix_hashes: chat.prefix_hashes.clone(),
         },
         Operation::OpenProgram { budget_tokens } => CallOperation::OpenProgram {
             budget_tokens: *budget_tokens,
--- a/crates/core/src/shell/runner.rs
+++ b/crates/core/src/shell/runner.rs
@@ -1,4 +1,7 @@
-//! The thread that owns the reducer.
+//! The thread that owns the reducer, feeds it events and performs its effects.
+//!
+//! Effects that involve the store, a peer or an endpoint are handed to other threads, so that
+//! a slow one of them does not delay the decisions about other calls.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -23,79 +26,81 @@
 use crate::shell::dispatch::Dispatcher;
 use crate::shell::forward::Forwarder;
 
-/// Longest time between two ticks of the reducer.
+/// Interval of the reducer's ticks, which drive its timeouts.
 const TICK_MS: u64 = 50;
 
-/// An instance that has got no share by then, because the store is down, becomes ready all
-/// the same: it can serve open routes and forward calls.
-const SHARE_WAIT_LIMIT_MS: u64 = 15_000;
+/// Time after the first configuration at which an instance becomes ready even if it has no
+/// share of the customers' rates, because the store is down. Without a share it can still
+/// serve open routes and forward calls.
+const RATE_SHARE_WAIT_LIMIT_MS: u64 = 15_000;
 
-/// One input of the runner.
+/// An event for the runner thread, sent by the other threads of the instance.
 pub(crate) enum RunnerEvent {
-    /// For the reducer.
+    /// An input that is passed to the reducer unchanged.
     Reducer(Input),
-    /// `GET /v1/models`.
+    /// `GET /v1/models`, which the runner answers from the configuration.
     ListModels {
         /// The request.
         id: RequestId,
         /// Hash of the caller's key.
         key: Option<KeyHash>,
     },
-    /// Asks for the state of the reducer.
+    /// Requests the state of the reducer, which is sent over the channel.
     Status(Sender<StatusReport>),
-    /// The last event.
+    /// Ends the thread.
     Stop,
 }
 
-/// The state of the reducer.
+/// State of the reducer, for the status of the administration API and for a planned stop.
 #[derive(Clone, Debug)]
 pub(crate) struct StatusReport {
-    /// The state of the fleet step.
+    /// State of membership, program ownership and quota.
     pub(crate) fleet: FleetStatus,
-    /// Calls that have not ended.
+    /// Number of calls that have not ended.
     pub(crate) calls: usize,
-    /// Whether a planned stop has given back and handed over everything.
+    /// Whether a planned stop has handed over all programs and returned all quota.
     pub(crate) is_stopped: bool,
 }
 
-/// Where effects go.
-pub(crate) struct Outlets {
-    /// Calls to endpoints.
+/// The components that perform the reducer's effects.
+pub(crate) struct EffectHandlers {
+    /// Sends calls to endpoints.
     pub(crate) dispatcher: Dispatcher,
-    /// Calls to other instances.
+    /// Forwards calls to other instances.
     pub(crate) forwarder: Forwarder,
-    /// Control of engines.
+    /// Sends probes, cache releases and orders to endpoints.
     pub(crate) engines: EngineLink,
-    /// Messages to peers.
+    /// Sends messages to peers.
     pub(crate) peers: PeerSender,
-    /// Reads and writes of the store.
+    /// Queue of the thread that writes to the store.
     pub(crate) store: Sender<FleetEffect>,
-    /// Metrics and logs of calls.
+    /// Records the metrics of calls.
     pub(crate) observer: Arc<Observer>,
 }
 
-/// Owns the reducer and carries out its effects.
+/// Owns the reducer and performs its effects.
 pub(crate) struct Runner {
     clock: Clock,
     reducer: Reducer,
     calls: Arc<CallTable>,
-    outlets: Outlets,
+    handlers: EffectHandlers,
     events: Receiver<RunnerEvent>,
     configuration: Option<Arc<Configuration>>,
     ready: Arc<AtomicBool>,
-    /// When the first configuration came into force.
+    /// When the first configuration was applied. `None` before that.
     configured_at_ms: Option<u64>,
-    /// A planned stop has begun.
+    /// Whether a planned stop has begun.
     draining: bool,
 }
 
 impl Runner {
-    /// A runner that takes its input from `events`.
+    /// A runner that receives its input from `events` and sets `ready` once the instance can
+    /// serve callers.
     pub(crate) fn new(
         clock: Clock,
         reducer: Reducer,
         calls: Arc<CallTable>,
-        outlets: Outlets,
+        handlers: EffectHandlers,
         events: Receiver<RunnerEvent>,
         ready: Arc<AtomicBool>,
     ) -> Runner {
@@ -103,7 +108,7 @@
             clock,
             reducer,
             calls,
-            outlets,
+            handlers,
             events,
             configuration: None,
             ready,
@@ -112,7 +117,7 @@
         }
     }
 
-    /// Runs until [`RunnerEvent::Stop`].
+    /// Runs until [`RunnerEvent::Stop`] or until all senders of events are dropped.
     pub(crate) fn run(mut self) {
         let mut next_tick_ms = 0;
         loop {
@@ -120,7 +125,7 @@
             if now_ms >= next_tick_ms {
                 self.apply(Input::Schedule(Event::Tick));
                 self.update_ready(now_ms);
-                self.outlets
+                self.handlers
                     .observer
                     .set_open_calls(self.reducer.call_count());
                 next_tick_ms = now_ms + TICK_MS;
@@ -129,7 +134,7 @@
             match self.events.recv_timeout(wait) {
                 Ok(RunnerEvent::Reducer(input)) => self.apply(input),
                 Ok(RunnerEvent::ListModels { id, key }) => self.list_models(id, key),
-                Ok(RunnerEvent::Status(reply)) => self.report(&reply),
+                Ok(RunnerEvent::Status(reply)) => self.report_status(&reply),
                 Ok(RunnerEvent::Stop) | Err(RecvTimeoutError::Disconnected) => return,
                 Err(RecvTimeoutError::Timeout) => {}
             }
@@ -138,15 +143,15 @@
 
     fn apply(&mut self, input: Input) {
         if let Input::Schedule(event) = &input {
-            self.note(event);
+            self.observe(event);
         }
         for output in self.reducer.apply(self.clock.now_ms(), input) {
             match output {
                 Output::Fleet(FleetEffect::Send { to, message }) => {
-                    self.outlets.peers.send(&to, &message);
+                    self.handlers.peers.send(&to, &message);
                 }
                 Output::Fleet(FleetEffect::ListTags { endpoint }) => {
-                    self.outlets.engines.list_tags(endpoint);
+                    self.handlers.engines.list_tags(endpoint);
                 }
                 Output::Fleet(FleetEffect::ReleaseTag {
                     endpoint,
@@ -155,23 +160,25 @@
                     log::info!(
                         "event=orphan_released endpoint={endpoint} tag={cache_tag}"
                     );
-                    self.outlets.engines.release(endpoint, cache_tag);
+                    self.handlers.engines.release(endpoint, cache_tag);
                 }
                 Output::Fleet(FleetEffect::SendOrder {
                     endpoint,
                     fencing,
                     order,
-                }) => self.outlets.engines.order(endpoint, fencing, order),
+                }) => self.handlers.engines.order(endpoint, fencing, order),
                 Output::Fleet(effect) => {
-                    // The store's thread ends after this one.
-                    let _ = self.outlets.store.send(effect);
+                    // The store writer ends after this thread.
+                    let _ = self.handlers.store.send(effect);
                 }
-                Output::Schedule(effect) => self.carry_out(effect),
+                Output::Schedule(effect) => self.perform(effect),
             }
         }
     }
 
-    /// Becomes ready once and stays so; a planned stop is announced by the server.
+    /// Sets `ready` once the reducer is ready, or after [`RATE_SHARE_WAIT_LIMIT_MS`]. Never
+    /// clears it: [`Instance::close`](crate::instance::Instance::close) does that when a
+    /// planned stop begins.
     fn update_ready(&mut self, now_ms: u64) {
         if self.draining || self.ready.load(Ordering::SeqCst) {
             return;
@@ -179,55 +186,56 @@
         let waited_ms = self
             .configured_at_ms
             .map(|at_ms| now_ms.saturating_sub(at_ms));
-        let is_overdue = waited_ms.is_some_and(|ms| ms >= SHARE_WAIT_LIMIT_MS);
+        let is_overdue = waited_ms.is_some_and(|ms| ms >= RATE_SHARE_WAIT_LIMIT_MS);
         if is_overdue || self.reducer.is_ready(now_ms) {
             log::info!("event=ready");
             self.ready.store(true, Ordering::SeqCst);
         }
     }
 
-    fn note(&mut self, event: &Event) {
+    /// Updates the runner's own state and the metrics for an event that the reducer gets.
+    fn observe(&mut self, event: &Event) {
         match event {
             Event::ConfigurationChanged(configuration) => {
                 self.configuration = Some(Arc::clone(configuration));
                 let now_ms = self.clock.now_ms();
                 self.configured_at_ms.get_or_insert(now_ms);
-                self.outlets.observer.set_configuration(configuration);
-                self.outlets.engines.set_configuration(configuration);
+                self.handlers.observer.set_configuration(configuration);
+                self.handlers.engines.set_configuration(configuration);
             }
             Event::DrainStarted => self.draining = true,
             Event::FirstToken { request_id } => {
-                self.outlets.observer.first_token(*request_id);
+                self.handlers.observer.first_token(*request_id);
             }
             Event::CallFinished { request_id, .. }
             | Event::CallFailed { request_id, .. } => {
-                self.outlets.observer.ended(*request_id);
+                self.handlers.observer.ended(*request_id);
             }
             _ => {}
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::Cancel { request_id } => self.calls.cancel(request_id),
             Effect::Dispatch(dispatch) => {
-                self.outlets.observer.dispatched(&dispatch, &self.calls);
-                self.outlets.dispatcher.start(dispatch);
+                self.handlers.observer.dispatched(&dispatch, &self.calls);
+                self.handlers.dispatcher.start(dispatch);
             }
             Effect::DrainComplete => log::info!("event=drain_complete"),
             Effect::Forward { request_id, to } => {
                 log::info!("event=forwarded request={request_id} to={to}");
-                self.outlets.forwarder.start(request_id, to);
+                self.handlers.forwarder.start(request_id, to);
             }
             Effect::Probe { endpoint, address } => {
-                self.outlets.engines.probe(endpoint, address);
+                self.handlers.engines.probe(endpoint, address);
             }
             Effect::ProgramEnded {
                 customer,
                 class,
                 lasted_ms,
             } => self
-                .outlets
+                .handlers
                 .observer
                 .program_ended(&customer, class, lasted_ms),
             Effect::Refuse {
@@ -240,7 +248,7 @@
                     refusal.ran,
                     Value(&refusal.message)
                 );
-                self.outlets
+                self.handlers
                     .observer
                     .refused(request_id, &refusal, &self.calls);
                 self.calls.refuse(request_id, &refusal);
@@ -249,14 +257,15 @@
                 endpoint,
                 cache_tag,
             } => {
-                self.outlets.engines.release(endpoint, cache_tag);
+                self.handlers.engines.release(endpoint, cache_tag);
             }
-            Effect::Reply { request_id, reply } => self.reply(request_id, reply),
+            Effect::Reply { request_id, reply } => self.send_reply(request_id, reply),
             _ => log::error!("event=unknown_effect"),
         }
     }
 
-    fn reply(&self, id: RequestId, reply: Reply) {
+    /// Answers a request to open or close a program.
+    fn send_reply(&self, id: RequestId, reply: Reply) {
         let (status, body) = match reply {
             Reply::ProgramOpened {
                 token,
@@ -277,9 +286,9 @@
             .reply(id, status, &json_headers(), body.to_string().as_bytes());
     }
 
-    fn report(&self, reply: &Sender<StatusReport>) {
+    fn report_status(&self, reply: &Sender<StatusReport>) {
         let now_ms = self.clock.now_ms();
-        // Whoever asked may have stopped waiting.
+        // Fails if the requester's timeout has passed.
         let _ = reply.send(StatusReport {
             fleet: self.reducer.status(now_ms),
             calls: self.reducer.call_count(),
@@ -287,16 +296,17 @@
         });
     }
 
+    /// Answers with the models and adapters of all active endpoints.
     fn list_models(&self, id: RequestId, key: Option<KeyHash>) {
         let Some(configuration) = &self.configuration else {
             let refusal =
                 Refusal::not_run(RefusalReason::NotReady, "no configuration yet");
             return self.calls.refuse(id, &refusal);
         };
-        let known = key
+        let is_valid = key
             .and_then(|hash| configuration.keys.get(&hash))
             .is_some_and(|key| !key.withdrawn);
-        if !known {
+        if !is_valid {
             let refusal =
                 Refusal::not_run(RefusalReason::InvalidKey, "the key is not valid");
             return self.calls.refuse(id, &refusal);
