--- a/crates/core/src/instance/base.rs
+++ b/crates/core/src/instance/base.rs
@@ -1,4 +1,4 @@
-//! What the parts of an instance share, and how each part starts.
+//! The state that the components of an instance share, and how each component is started.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -23,36 +23,48 @@
 use crate::engine_link::EngineLink;
 use crate::instance::from_settings;
 use crate::observe::Observer;
-use crate::peer_link::{self, PeerSender, Seeds};
+use crate::peer_link::{self, PeerSender, SeedPoller};
 use crate::shell::{
     CallTable, Dispatcher, EffectHandlers, Forwarder, RequestSubmitter, Runner,
     RunnerEvent,
 };
 use crate::store_link::StoreLink;
 
-/// What the parts of an instance share.
-pub(super) struct Base {
+/// The state that the components of an instance share.
+///
+/// [`Instance::start`](super::Instance::start) calls the `start_*` methods in order, since
+/// some components need others that were started before.
+pub(super) struct SharedState {
     pub(super) settings: Settings,
+    /// This process.
     pub(super) own: Incarnation,
+    /// The value of this process's registration in the store.
     pub(super) registered: Registered,
     pub(super) calls: Arc<CallTable>,
     pub(super) events: Sender<RunnerEvent>,
+    /// Whether callers are to be sent here, as `/readyz` reports it.
     pub(super) ready: Arc<AtomicBool>,
     pub(super) network: Arc<TcpPeerNetwork>,
     clock: Clock,
     store: Arc<dyn Store>,
     peers: PeerSender,
-    inbox: Receiver<RunnerEvent>,
+    /// Events for the runner. The sending side is `events`.
+    runner_events: Receiver<RunnerEvent>,
+    /// Messages and forwarded calls from peers.
     inbound: Receiver<Inbound>,
 }
 
-impl Base {
-    /// Binds the listener for peers; nothing else runs yet.
+impl SharedState {
+    /// Binds the listener for peers, whose address the registration contains. Starts no other
+    /// component.
     ///
     /// # Errors
     ///
     /// If the listener cannot be bound.
-    pub(super) fn new(settings: Settings, store: Arc<dyn Store>) -> eyre::Result<Base> {
+    pub(super) fn new(
+        settings: Settings,
+        store: Arc<dyn Store>,
+    ) -> eyre::Result<SharedState> {
         let own = from_settings::incarnation(&settings);
         let (network, inbound) = from_settings::start_peers(&settings, &own)?;
         let network = Arc::new(network);
@@ -63,8 +75,8 @@
             peer_address: peer_address.to_string(),
             leaving: false,
         };
-        let (events, inbox) = unbounded();
-        Ok(Base {
+        let (events, runner_events) = unbounded();
+        Ok(SharedState {
             peers: PeerSender::new(
                 own.instance.clone(),
                 Arc::clone(&network) as Arc<dyn PeerNetwork>,
@@ -78,12 +90,12 @@
             network,
             clock: Clock::new(),
             store,
-            inbox,
+            runner_events,
             inbound,
         })
     }
 
-    /// Follows the configuration in the store.
+    /// Starts to keep a copy of the configuration in the store.
     pub(super) fn start_feed(&self) -> eyre::Result<ConfigurationFeed> {
         let settings = FeedSettings {
             poll_interval_ms: self.settings.platform.config_poll_interval_ms,
@@ -94,7 +106,7 @@
             .wrap_err("cannot start the configuration feed")
     }
 
-    /// Registers the instance.
+    /// Starts to register the instance in the store and to renew the registration.
     pub(super) fn start_registration(&self) -> eyre::Result<Registration> {
         Registration::start(
             Arc::clone(&self.store),
@@ -106,7 +118,7 @@
         .wrap_err("cannot start the registration")
     }
 
-    /// Connects the fleet step to the store.
+    /// Starts the threads that read and write the store for the reducer.
     pub(super) fn start_store_link(
         &self,
         registration: &Arc<Registration>,
@@ -123,33 +135,34 @@
         )
     }
 
-    /// Takes what peers send.
+    /// Starts the thread that handles messages and forwarded calls from peers.
     pub(super) fn start_receiver(
         &self,
         feed: &Arc<ConfigurationFeed>,
         store_link: &StoreLink,
     ) -> eyre::Result<()> {
-        peer_link::receive(
+        peer_link::start_receiver(
             self.clock,
             self.inbound.clone(),
             self.peers.clone(),
             Arc::clone(feed),
             Arc::clone(&self.calls),
             self.events.clone(),
-            store_link.read_now(),
+            store_link.read_requests(),
         )
     }
 
-    /// Asks the seeds for peers, in case the store is down.
+    /// Starts to look for peers at the addresses in the settings, in case the store is down.
     pub(super) fn start_seeds(
         &self,
         feed: &Arc<ConfigurationFeed>,
-    ) -> eyre::Result<Seeds> {
+    ) -> eyre::Result<SeedPoller> {
         let seeds = self.settings.peers.seeds.clone();
-        Seeds::start(seeds, self.peers.clone(), Arc::clone(feed))
+        SeedPoller::start(seeds, self.peers.clone(), Arc::clone(feed))
     }
 
-    /// Runs the reducer. Dropping the sender ends the load reports.
+    /// Starts the thread of the reducer and the threads that perform its effects. Dropping the
+    /// returned sender ends the polling of engines.
     pub(super) fn start_runner(
         &self,
         registry: &Registry,
@@ -194,17 +207,17 @@
             ),
             Arc::clone(&self.calls),
             handlers,
-            self.inbox.clone(),
+            self.runner_events.clone(),
             Arc::clone(&self.ready),
         );
         let thread = thread::Builder::new()
             .name("reducer".to_string())
             .spawn(move || runner.run())
-            .wrap_err("cannot start the reducer's thread")?;
+            .wrap_err("cannot start the reducer thread")?;
         Ok((thread, stop_engines))
     }
 
-    /// Passes each new configuration to the reducer.
+    /// Starts the thread that passes each new configuration to the reducer.
     pub(super) fn follow_configuration(
         &self,
         feed: &ConfigurationFeed,
@@ -228,7 +241,7 @@
         Ok(())
     }
 
-    /// Serves operators.
+    /// Starts the server of the administration API and of the metrics.
     pub(super) fn start_admin(
         &self,
         registry: Registry,
@@ -247,7 +260,7 @@
             .wrap_err_with(|| format!("cannot listen on {listen}"))
     }
 
-    /// Serves callers.
+    /// Starts the server for callers.
     pub(super) fn start_callers(&self) -> eyre::Result<CallerServer> {
         let intake = RequestSubmitter::new(
             self.clock,
--- a/crates/core/src/instance/from_settings.rs
+++ b/crates/core/src/instance/from_settings.rs
@@ -1,4 +1,4 @@
-//! Parts of an instance as the settings describe them.
+//! Converts the settings of an instance into the settings of its components.
 
 use std::net::TcpListener;
 use std::time::SystemTime;
@@ -18,12 +18,14 @@
 
 use crate::clock::Clock;
 
-/// Added to three intervals of reports, for engines that answer slowly.
-const REPORT_MARGIN_MS: u64 = 5_000;
+/// Added to three polling intervals to get the age at which an engine's report of its models
+/// is no longer valid, so that the reports of slow engines stay valid.
+const MODEL_REPORT_MARGIN_MS: u64 = 5_000;
 
-/// A new incarnation of the instance.
+/// A new incarnation of the instance: its name with a random number, which distinguishes
+/// this process from earlier ones of the same name.
 pub(super) fn incarnation(settings: &Settings) -> Incarnation {
-    // 53 bits survive JSON readers that keep numbers as floating point.
+    // JSON parsers that store numbers as floating point keep 53 bits exactly.
     let number = rand::random::<u64>() >> 11;
     Incarnation {
         instance: settings.instance.name.clone(),
@@ -31,11 +33,11 @@
     }
 }
 
-/// Binds the listener for peers.
+/// Binds the listener for peers and starts the peer network.
 ///
 /// # Errors
 ///
-/// If the address cannot be used.
+/// If the address cannot be bound.
 pub(super) fn start_peers(
     settings: &Settings,
     own: &Incarnation,
@@ -56,7 +58,7 @@
     TcpPeerNetwork::start(config).wrap_err("cannot start the peer network")
 }
 
-/// The reducer of a process that starts now.
+/// A reducer with the state of a process that has just started.
 pub(super) fn reducer(
     settings: &Settings,
     own: &Incarnation,
@@ -82,7 +84,7 @@
     let load_interval_ms = settings.endpoints.load_interval_ms;
     fleet.zone_loads =
         usize::try_from(settings.endpoints.zone_loads_at_once).unwrap_or(usize::MAX);
-    fleet.model_report_valid_ms = 3 * load_interval_ms + REPORT_MARGIN_MS;
+    fleet.model_report_valid_ms = 3 * load_interval_ms + MODEL_REPORT_MARGIN_MS;
     let unix_ms = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .map_or(0, |elapsed| {
@@ -91,7 +93,7 @@
     Reducer::new(scheduler, fleet, unix_ms.saturating_sub(clock.now_ms()))
 }
 
-/// The policies that the settings name.
+/// The scheduling policies that the settings name. [`Settings::read`] has checked the names.
 fn policies(settings: &Settings) -> PolicySettings {
     PolicySettings {
         order: match settings.policy.order.as_str() {
@@ -111,7 +113,7 @@
     }
 }
 
-/// Term and renewal of the registration.
+/// Lease time of the registration, and its renewal interval of 30 % of that.
 pub(super) fn registration_settings(settings: &Settings) -> RegistrationSettings {
     let ttl_s = settings.platform.registration_ttl_s;
     RegistrationSettings {
@@ -121,7 +123,7 @@
     }
 }
 
-/// Keys and limits of the administration API.
+/// Keys and limits of the administration API. The metrics need no key.
 pub(super) fn admin_settings(settings: &Settings) -> AdminSettings {
     let keys = settings.admin.key_hashes.iter().enumerate();
     AdminSettings {
@@ -136,7 +138,7 @@
     }
 }
 
-/// Limits of the callers' listener.
+/// Limits of the server for callers.
 pub(super) fn server_settings(settings: &Settings) -> ServerSettings {
     let callers = &settings.callers;
     ServerSettings {
--- a/crates/core/src/instance/mod.rs
+++ b/crates/core/src/instance/mod.rs
@@ -1,4 +1,5 @@
-//! One entry instance: its threads and how they start and stop.
+//! An entry instance: the components of `jayreel serve` and the order in which they start
+//! and stop.
 
 mod base;
 mod from_settings;
@@ -18,19 +19,21 @@
 use jayreel_settings::Settings;
 use jayreel_store::{Registration, Store};
 
-use crate::instance::base::Base;
-use crate::peer_link::Seeds;
+use crate::instance::base::SharedState;
+use crate::peer_link::SeedPoller;
 use crate::shell::{CallTable, RunnerEvent, StatusReport};
 use crate::store_link::StoreLink;
 
-/// How often a planned stop looks whether it can go on.
-const STOP_CHECK: Duration = Duration::from_millis(20);
+/// Interval at which a planned stop checks whether its current phase is complete.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a planned stop waits for the store and a successor after the last call. What
-/// is not given back by then returns by the terms of loans and home shares.
+/// How long a planned stop waits, after the last call, for the store and a successor to take
+/// over what the instance holds. Loans and home shares that are not returned by then
+/// expire at the end of their terms.
 const RELEASE_LIMIT: Duration = Duration::from_secs(15);
 
-/// How long a planned stop waits for operators' requests that are under way.
+/// How long a planned stop waits for requests to the administration API that are in
+/// progress.
 const ADMIN_STOP_LIMIT: Duration = Duration::from_secs(10);
 
 /// A running instance.
@@ -39,14 +42,16 @@
     registered: Registered,
     calls: Arc<CallTable>,
     events: Sender<RunnerEvent>,
+    /// Whether callers are to be sent here, as `/readyz` reports it.
     ready: Arc<AtomicBool>,
     runner: JoinHandle<()>,
     callers: CallerServer,
     admin: AdminServer,
     network: Arc<TcpPeerNetwork>,
-    seeds: Seeds,
+    seed_poller: SeedPoller,
     registration: Arc<Registration>,
     store_link: StoreLink,
+    /// Dropped to end the polling of engines.
     stop_engines: Sender<()>,
 }
 
@@ -60,35 +65,35 @@
         settings: Settings,
         store: Arc<dyn Store>,
     ) -> eyre::Result<Instance> {
-        let base = Base::new(settings, store)?;
-        let feed = Arc::new(base.start_feed()?);
-        let registration = Arc::new(base.start_registration()?);
-        let store_link = base.start_store_link(&registration, &feed)?;
-        base.start_receiver(&feed, &store_link)?;
-        let seeds = base.start_seeds(&feed)?;
+        let shared = SharedState::new(settings, store)?;
+        let feed = Arc::new(shared.start_feed()?);
+        let registration = Arc::new(shared.start_registration()?);
+        let store_link = shared.start_store_link(&registration, &feed)?;
+        shared.start_receiver(&feed, &store_link)?;
+        let seed_poller = shared.start_seeds(&feed)?;
         let registry = prometheus::Registry::new();
-        let (runner, stop_engines) = base.start_runner(&registry, &store_link)?;
-        base.follow_configuration(&feed)?;
-        let admin = base.start_admin(registry, &feed)?;
-        let callers = base.start_callers()?;
+        let (runner, stop_engines) = shared.start_runner(&registry, &store_link)?;
+        shared.follow_configuration(&feed)?;
+        let admin = shared.start_admin(registry, &feed)?;
+        let callers = shared.start_callers()?;
         log::info!(
             "event=started incarnation={} callers={} admin={} peers={}",
-            base.own,
+            shared.own,
             callers.address(),
             admin.address(),
-            base.network.local_address()
+            shared.network.local_address()
         );
         Ok(Instance {
-            settings: base.settings,
-            registered: base.registered,
-            calls: base.calls,
-            events: base.events,
-            ready: base.ready,
+            settings: shared.settings,
+            registered: shared.registered,
+            calls: shared.calls,
+            events: shared.events,
+            ready: shared.ready,
             runner,
             callers,
             admin,
-            network: base.network,
-            seeds,
+            network: shared.network,
+            seed_poller,
             registration,
             store_link,
             stop_engines,
@@ -111,18 +116,19 @@
     }
 
     /// Whether another process has taken over the programs of this one. The instance then
-    /// serves no programs any more and has to be started again.
+    /// serves no programs and must be restarted.
     pub(crate) fn is_superseded(&self) -> bool {
         self.status().is_some_and(|status| status.fleet.superseded)
     }
 
-    /// Whether a configuration is in force.
+    /// Whether the instance is ready for callers. Set once the reducer is ready or has waited
+    /// long enough for the store; cleared when a planned stop begins.
     pub(crate) fn is_ready(&self) -> bool {
         self.ready.load(Ordering::SeqCst)
     }
 
-    /// A planned stop: ends after all accepted calls have ended, and gives back what the
-    /// instance holds.
+    /// Performs a planned stop: announces it, waits until all accepted calls have ended or
+    /// `drain_limit_s` has passed (0 means no limit), and hands over the programs and the quota of the instance.
     pub(crate) fn close(self) {
         self.announce_stop();
         thread::sleep(Duration::from_millis(
@@ -133,18 +139,20 @@
         let limit = (limit_s > 0).then(|| Duration::from_secs(limit_s));
         let deadline = limit.map(|limit| Instant::now() + limit);
         let idle = self.callers.wait_idle(limit);
-        // Calls that peers forwarded have no connection here.
+        // `wait_idle` sees only callers' connections, not the calls that peers forwarded.
         while self.calls.len() > 0 && deadline.is_none_or(|at| Instant::now() < at) {
-            thread::sleep(STOP_CHECK);
+            thread::sleep(STOP_CHECK_INTERVAL);
         }
         if !idle || self.calls.len() > 0 {
             log::warn!("event=drain_limit_reached cut={}", self.calls.len());
         }
-        self.release();
+        self.release_resources();
         self.end_threads();
         log::info!("event=stopped");
     }
 
+    /// Makes the readiness check fail, so that load balancers send callers elsewhere, and
+    /// marks the instance as leaving in the reducer and in its registration.
     fn announce_stop(&self) {
         log::info!("event=drain_started running={}", self.calls.len());
         self.ready.store(false, Ordering::SeqCst);
@@ -159,8 +167,8 @@
         }
     }
 
-    /// Hands over programs and gives back loans and weight.
-    fn release(&self) {
+    /// Hands the programs over to a successor and returns the loans and the home weight.
+    fn release_resources(&self) {
         self.send(Input::Fleet(FleetEvent::StopServing));
         let deadline = Instant::now() + RELEASE_LIMIT;
         while !self.status().is_some_and(|status| status.is_stopped) {
@@ -168,25 +176,28 @@
                 log::warn!("event=release_incomplete");
                 return;
             }
-            thread::sleep(STOP_CHECK);
+            thread::sleep(STOP_CHECK_INTERVAL);
         }
     }
 
+    /// Ends the threads: the servers before the runner, to which they send events, and the
+    /// runner before the store writer, to which it sends effects.
     fn end_threads(self) {
         self.callers.close();
         self.admin.close(Some(ADMIN_STOP_LIMIT));
         drop(self.stop_engines);
-        self.seeds.close();
+        self.seed_poller.close();
         let _ = self.events.send(RunnerEvent::Stop);
         let _ = self.runner.join();
         self.store_link.close();
         if let Ok(registration) = Arc::try_unwrap(self.registration) {
             registration.close();
         }
-        // The receiver of peers' messages holds the network and the feed, so all three end
-        // with the process.
+        // The receiver of peer messages holds the network and the feed, so these three end
+        // only with the process.
     }
 
+    /// `None` if the runner has ended or does not answer within 1 s.
     fn status(&self) -> Option<StatusReport> {
         let (reply, answer) = bounded(1);
         self.events.send(RunnerEvent::Status(reply)).ok()?;
--- a/crates/core/src/peer_link/codec.rs
+++ b/crates/core/src/peer_link/codec.rs
@@ -1,15 +1,15 @@
-//! Messages of the fleet step in the form of the peer network.
+//! Converts messages between the reducer and the peer protocol.
 
 use jayreel_fleet::PeerMessage;
 use jayreel_membership::{Heartbeat, InstanceState};
 use jayreel_peer::{HeartbeatState, MessageBody};
 use jayreel_programs::TakeoverRecord;
 
-/// The form that travels.
+/// Converts a message of the reducer to the peer protocol.
 ///
 /// # Errors
 ///
-/// Any error of JSON.
+/// If a nested body cannot be encoded as JSON.
 pub(super) fn encode(message: &PeerMessage) -> Result<MessageBody, serde_json::Error> {
     Ok(match message {
         PeerMessage::CacheTagsOwned(tags) => {
@@ -31,10 +31,10 @@
             MessageBody::KeyedHandoverTaken { part: *part }
         }
         PeerMessage::Heartbeat(heartbeat) => {
-            MessageBody::Heartbeat(heartbeat_out(heartbeat))
+            MessageBody::Heartbeat(encode_heartbeat(heartbeat))
         }
         PeerMessage::HeartbeatAnswer(heartbeat) => {
-            MessageBody::HeartbeatAnswer(heartbeat_out(heartbeat))
+            MessageBody::HeartbeatAnswer(encode_heartbeat(heartbeat))
         }
         PeerMessage::LoanGrant(grant) => MessageBody::LoanGrant {
             customer: grant.customer.clone(),
@@ -55,11 +55,12 @@
     })
 }
 
-/// The message of the fleet step.
+/// Converts a message of the peer protocol to one of the reducer. The receiver must have
+/// handled the kinds that are not for the reducer.
 ///
 /// # Errors
 ///
-/// Any error of JSON.
+/// If a nested JSON body cannot be decoded.
 pub(super) fn decode(body: MessageBody) -> Result<PeerMessage, serde_json::Error> {
     Ok(match body {
         MessageBody::CacheTagsOwned { tags } => PeerMessage::CacheTagsOwned(tags),
@@ -68,10 +69,10 @@
             PeerMessage::Handover(Box::new(serde_json::from_slice(&body)?))
         }
         MessageBody::Heartbeat(heartbeat) => {
-            PeerMessage::Heartbeat(heartbeat_in(heartbeat))
+            PeerMessage::Heartbeat(decode_heartbeat(heartbeat))
         }
         MessageBody::HeartbeatAnswer(heartbeat) => {
-            PeerMessage::HeartbeatAnswer(heartbeat_in(heartbeat))
+            PeerMessage::HeartbeatAnswer(decode_heartbeat(heartbeat))
         }
         MessageBody::KeyedHandover { body, .. } => {
             PeerMessage::KeyedHandover(Box::new(serde_json::from_slice(&body)?))
@@ -100,7 +101,7 @@
     })
 }
 
-fn heartbeat_out(heartbeat: &Heartbeat) -> jayreel_peer::Heartbeat {
+fn encode_heartbeat(heartbeat: &Heartbeat) -> jayreel_peer::Heartbeat {
     jayreel_peer::Heartbeat {
         incarnation: heartbeat.incarnation.clone(),
         availability_zone: heartbeat.availability_zone.clone(),
@@ -117,7 +118,7 @@
     }
 }
 
-fn heartbeat_in(heartbeat: jayreel_peer::Heartbeat) -> Heartbeat {
+fn decode_heartbeat(heartbeat: jayreel_peer::Heartbeat) -> Heartbeat {
     Heartbeat {
         incarnation: heartbeat.incarnation,
         availability_zone: heartbeat.availability_zone,
--- a/crates/core/src/peer_link/mod.rs
+++ b/crates/core/src/peer_link/mod.rs
@@ -1,4 +1,9 @@
-//! Carries messages and forwarded calls between the reducer and peers.
+//! Connects the reducer to the peer network.
+//!
+//! Sends the reducer's messages to peers, and turns what peers send into events. While the
+//! store does not answer, it also keeps the instance in contact with the fleet: it finds
+//! peers through seed addresses and through other peers, and exchanges the configuration
+//! with them.
 
 mod addresses;
 mod codec;
@@ -17,21 +22,23 @@
 
 use crate::peer_link::addresses::Addresses;
 use crate::peer_link::codec::encode;
-pub(crate) use crate::peer_link::receiver::receive;
-pub(crate) use crate::peer_link::seeds::Seeds;
+pub(crate) use crate::peer_link::receiver::start_receiver;
+pub(crate) use crate::peer_link::seeds::SeedPoller;
 
-/// Sends the reducer's messages.
+/// Sends messages to peers by instance name, and maintains their addresses. Clones share the
+/// addresses and the message ids.
 #[derive(Clone)]
 pub(crate) struct PeerSender {
     /// Name of this instance.
     own: String,
     network: Arc<dyn PeerNetwork>,
+    /// Id of the next message.
     next_id: Arc<AtomicU64>,
     addresses: Arc<Mutex<Addresses>>,
 }
 
 impl PeerSender {
-    /// A sender of the named instance over the network.
+    /// A sender for the instance with the name `own`.
     pub(crate) fn new(own: String, network: Arc<dyn PeerNetwork>) -> PeerSender {
         PeerSender {
             own,
@@ -41,7 +48,8 @@
         }
     }
 
-    /// Takes over the addresses of all registered peers.
+    /// Replaces the addresses that come from the registrations. `registered` holds all
+    /// registered peers by name.
     pub(crate) fn set_registered(
         &self,
         now_ms: u64,
@@ -52,41 +60,52 @@
         });
     }
 
-    /// Whether the registrations were ever read.
+    /// Whether the registrations were read since the process started.
     pub(super) fn has_registered(&self) -> bool {
         self.lock().has_registered()
     }
 
     /// Names and addresses of all peers with a known address.
-    pub(super) fn known(&self) -> Vec<(String, SocketAddr)> {
+    pub(super) fn known_peers(&self) -> Vec<(String, SocketAddr)> {
         let addresses = self.lock();
-        let known = addresses.in_use().iter();
-        known
+        let in_use = addresses.in_use().iter();
+        in_use
             .map(|(name, address)| (name.clone(), *address))
             .collect()
     }
 
-    /// Takes note of the address that a peer told in a heartbeat.
-    pub(super) fn heard_address(&self, now_ms: u64, from: &str, address: SocketAddr) {
+    /// Records the address that a peer states for itself in a heartbeat.
+    pub(super) fn record_heartbeat_address(
+        &self,
+        now_ms: u64,
+        from: &str,
+        address: SocketAddr,
+    ) {
         self.change_addresses(now_ms, |addresses| {
-            addresses.heard(now_ms, from, address);
+            addresses.record_heartbeat(now_ms, from, address);
         });
     }
 
-    /// Takes note of addresses that the peers have not told themselves.
-    pub(super) fn told_addresses(&self, now_ms: u64, peers: &[(String, SocketAddr)]) {
+    /// Records addresses of peers that were learned from seeds or from other peers.
+    pub(super) fn record_discovered_addresses(
+        &self,
+        now_ms: u64,
+        peers: &[(String, SocketAddr)],
+    ) {
         self.change_addresses(now_ms, |addresses| {
             for (name, address) in peers {
-                addresses.told(now_ms, name, *address);
+                addresses.record_discovered(now_ms, name, *address);
             }
         });
     }
 
-    /// Asks which instance accepts peers at an address.
+    /// Asks the address which instance it belongs to. The response arrives as an event of the
+    /// peer network.
     pub(super) fn discover(&self, address: SocketAddr) {
         self.network.discover(address);
     }
 
+    /// Applies a change and tells the peer network if the addresses in use differ after it.
     fn change_addresses(&self, now_ms: u64, change: impl FnOnce(&mut Addresses)) {
         let mut addresses = self.lock();
         change(&mut addresses);
@@ -101,7 +120,8 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a message of the fleet step.
+    /// Sends a message of the reducer to the named peer. Does not log heartbeats, which are
+    /// frequent.
     pub(crate) fn send(&self, to: &str, message: &PeerMessage) {
         if !matches!(
             message,
@@ -115,7 +135,7 @@
         }
     }
 
-    /// Sends any message.
+    /// Sends a message that is already in the form of the peer protocol.
     pub(crate) fn send_body(&self, to: &str, body: MessageBody) {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let message = jayreel_peer::PeerMessage {
--- a/crates/core/src/peer_link/receiver.rs
+++ b/crates/core/src/peer_link/receiver.rs
@@ -1,4 +1,4 @@
-//! Takes what peers send.
+//! Handles messages, forwarded calls and events of the peer network.
 
 use std::sync::Arc;
 use std::thread;
@@ -17,20 +17,20 @@
 use crate::peer_link::snapshots::Snapshots;
 use crate::shell::{CallTable, RunnerEvent, forwarded_request_id, insert_forwarded_call};
 
-/// Starts the thread that takes what peers send. It ends with the process, since it holds
-/// the network whose messages it takes.
+/// Starts the thread that handles what arrives from peers. It ends only with the process: it
+/// holds the network itself, so the channel of the network's events never closes.
 ///
 /// # Errors
 ///
 /// If the thread cannot be started.
-pub(crate) fn receive(
+pub(crate) fn start_receiver(
     clock: Clock,
     inbound: Receiver<Inbound>,
     sender: PeerSender,
     feed: Arc<ConfigurationFeed>,
     calls: Arc<CallTable>,
     events: Sender<RunnerEvent>,
-    read_now: Sender<()>,
+    read_requests: Sender<()>,
 ) -> eyre::Result<()> {
     let discovery = Discovery::new(clock, sender.clone(), events.clone());
     let snapshots = Snapshots::new(clock, sender.clone(), feed.clone(), events.clone());
@@ -42,13 +42,13 @@
         feed,
         calls,
         events,
-        read_now,
+        read_requests,
     };
     thread::Builder::new()
         .name("peer-inbound".to_string())
         .spawn(move || {
             for arrived in inbound {
-                receiver.take(arrived);
+                receiver.handle(arrived);
             }
         })
         .wrap_err("cannot start the thread for peers")?;
@@ -63,12 +63,12 @@
     feed: Arc<ConfigurationFeed>,
     calls: Arc<CallTable>,
     events: Sender<RunnerEvent>,
-    /// Asks for a read of the registrations.
-    read_now: Sender<()>,
+    /// Requests an early read of the registrations from the store reader.
+    read_requests: Sender<()>,
 }
 
 impl PeerReceiver {
-    fn take(&self, arrived: Inbound) {
+    fn handle(&self, arrived: Inbound) {
         match arrived {
             Inbound::Forwarded {
                 id,
@@ -94,14 +94,15 @@
                 incarnation,
             } => {
                 log::info!("event=seed_answered address={address} peer={incarnation}");
-                self.discovery.found(vec![(incarnation.instance, address)]);
+                self.discovery
+                    .add_peers(vec![(incarnation.instance, address)]);
             }
-            Inbound::Message { from, message } => self.message(from, message.body),
+            Inbound::Message { from, message } => self.handle_message(from, message.body),
             Inbound::SendFailed { failure, .. }
                 if failure.kind == PeerFailureKind::UnknownPeer =>
             {
-                // A request that already waits is enough.
-                let _ = self.read_now.try_send(());
+                // Fails if a request is already queued, which is then enough.
+                let _ = self.read_requests.try_send(());
             }
             Inbound::SendFailed { to, failure, .. } => {
                 log::debug!("event=peer_send_failed to={to} error={failure:?}");
@@ -109,15 +110,15 @@
         }
     }
 
-    fn message(&self, from: String, body: MessageBody) {
+    fn handle_message(&self, from: String, body: MessageBody) {
         match body {
-            MessageBody::Peers { peers } => self.discovery.found(peers),
-            MessageBody::PeersRequest => self.discovery.answer(&from),
-            MessageBody::Snapshot { body, .. } => self.snapshots.take(&from, &body),
+            MessageBody::Peers { peers } => self.discovery.add_peers(peers),
+            MessageBody::PeersRequest => self.discovery.send_peers(&from),
+            MessageBody::Snapshot { body, .. } => self.snapshots.apply(&from, &body),
             MessageBody::SnapshotRequest {
                 newer_than_revision,
             } => {
-                self.snapshots.give(&from, newer_than_revision);
+                self.snapshots.send(&from, newer_than_revision);
             }
             MessageBody::Withdrawals { keys } => {
                 for key in keys {
@@ -128,18 +129,20 @@
                     .send_body(&from, MessageBody::WithdrawalsApplied);
             }
             MessageBody::WithdrawalsApplied => {}
-            body => self.fleet_message(from, body),
+            body => self.handle_fleet_message(from, body),
         }
     }
 
-    fn fleet_message(&self, from: String, body: MessageBody) {
+    /// Passes a message to the reducer. A heartbeat is also evaluated here: it carries the
+    /// peer's address and the revision of its configuration.
+    fn handle_fleet_message(&self, from: String, body: MessageBody) {
         if let MessageBody::Heartbeat(heartbeat)
         | MessageBody::HeartbeatAnswer(heartbeat) = &body
         {
-            self.note_heartbeat(&from, heartbeat);
+            self.observe_heartbeat(&from, heartbeat);
         }
         if matches!(body, MessageBody::HeartbeatAnswer(_)) {
-            self.discovery.ask(&from);
+            self.discovery.request_peers(&from);
         }
         match decode(body) {
             Ok(message) => {
@@ -150,12 +153,12 @@
         }
     }
 
-    fn note_heartbeat(&self, from: &str, heartbeat: &jayreel_peer::Heartbeat) {
+    fn observe_heartbeat(&self, from: &str, heartbeat: &jayreel_peer::Heartbeat) {
         if let Ok(address) = heartbeat.peer_address.parse() {
             self.sender
-                .heard_address(self.clock.now_ms(), from, address);
+                .record_heartbeat_address(self.clock.now_ms(), from, address);
         }
-        self.snapshots.note_heartbeat(from, heartbeat);
+        self.snapshots.observe_heartbeat(from, heartbeat);
     }
 
     fn schedule(&self, event: Event) {
--- a/crates/core/src/peer_link/seeds.rs
+++ b/crates/core/src/peer_link/seeds.rs
@@ -1,4 +1,6 @@
-//! Asks the addresses in the settings for peers until the store has told them.
+//! Polls the seed addresses in the settings until the registrations are read from the store.
+//!
+//! Lets an instance that starts while the store is down find the fleet.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,22 +13,23 @@
 
 use crate::peer_link::PeerSender;
 
-/// Time between two rounds while no configuration is known.
-const FIRST_INTERVAL: Duration = Duration::from_secs(1);
+/// Polling interval while the instance has no configuration.
+const UNCONFIGURED_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two rounds afterwards. They find the fleet again after a partition in which
-/// both sides forgot each other.
-const INTERVAL: Duration = Duration::from_secs(5);
+/// Polling interval afterwards. Polling goes on because it finds the fleet again after a
+/// partition in which both sides have discarded each other's addresses.
+const CONFIGURED_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The thread that asks.
-pub(crate) struct Seeds {
+/// Handle of the polling thread.
+pub(crate) struct SeedPoller {
+    /// Dropped to end the thread.
     stop: Sender<()>,
     thread: JoinHandle<()>,
 }
 
-impl Seeds {
-    /// Starts to ask, at once and then at an interval. Ends with the first read of the
-    /// registrations.
+impl SeedPoller {
+    /// Starts the thread. It polls at once and then at an interval, and ends when the
+    /// registrations are read for the first time. Without seeds it ends at once.
     ///
     /// # Errors
     ///
@@ -35,16 +38,16 @@
         seeds: Vec<SocketAddr>,
         sender: PeerSender,
         feed: Arc<ConfigurationFeed>,
-    ) -> eyre::Result<Seeds> {
+    ) -> eyre::Result<SeedPoller> {
         let (stop, stopped) = bounded(1);
         let thread = thread::Builder::new()
             .name("seeds".to_string())
             .spawn(move || run(&seeds, &sender, &feed, &stopped))
-            .wrap_err("cannot start the thread for seeds")?;
-        Ok(Seeds { stop, thread })
+            .wrap_err("cannot start the thread that polls the seeds")?;
+        Ok(SeedPoller { stop, thread })
     }
 
-    /// Ends the thread.
+    /// Ends the thread and waits for it.
     pub(crate) fn close(self) {
         drop(self.stop);
         let _ = self.thread.join();
@@ -60,8 +63,8 @@
     while !seeds.is_empty() && !sender.has_registered() {
         seeds.iter().for_each(|seed| sender.discover(*seed));
         let interval = match feed.current() {
-            None => FIRST_INTERVAL,
-            Some(_) => INTERVAL,
+            None => UNCONFIGURED_INTERVAL,
+            Some(_) => CONFIGURED_INTERVAL,
         };
         if stopped.recv_timeout(interval) != Err(RecvTimeoutError::Timeout) {
             return;
--- a/crates/core/src/peer_link/snapshots.rs
+++ b/crates/core/src/peer_link/snapshots.rs
@@ -1,4 +1,4 @@
-//! Passes the configuration between peers while the store does not answer.
+//! Exchanges snapshots of the configuration with peers while the store does not answer.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,29 +15,32 @@
 use crate::peer_link::PeerSender;
 use crate::shell::RunnerEvent;
 
-/// A peer is asked for its configuration when the store has not confirmed the own one for
-/// this long. Longer than the interval of polls, 2 s.
-const SNAPSHOT_AFTER_MS: u64 = 3_000;
+/// A peer is asked for its configuration only if the last contact of the configuration feed
+/// with the store is at least this old. Longer than the polling interval of the feed, 2 s.
+const STORE_SILENCE_MS: u64 = 3_000;
 
-/// Time between two requests for a snapshot.
-const SNAPSHOT_INTERVAL_MS: u64 = 1_000;
+/// Shortest time between two requests for a snapshot, to any peer.
+const REQUEST_INTERVAL_MS: u64 = 1_000;
 
-/// What a peer last told of its configuration.
-struct Told {
+/// The configuration of a peer according to its last heartbeat that stated an age of its
+/// store contact.
+struct PeerRevision {
     revision: u64,
-    /// When the store held nothing newer, by the own clock.
+    /// When the peer last had contact with the store, which then held no newer revision. By
+    /// the clock of this instance.
     contact_at_ms: u64,
 }
 
-/// Asks for, takes and gives configurations.
+/// Requests, applies and sends snapshots of the configuration.
 pub(super) struct Snapshots {
     clock: Clock,
     sender: PeerSender,
     feed: Arc<ConfigurationFeed>,
     events: Sender<RunnerEvent>,
-    /// When a peer was last asked.
-    asked_at_ms: AtomicU64,
-    told: Mutex<BTreeMap<String, Told>>,
+    /// When a snapshot was last requested.
+    requested_at_ms: AtomicU64,
+    /// By instance name of the peer.
+    peer_revisions: Mutex<BTreeMap<String, PeerRevision>>,
 }
 
 impl Snapshots {
@@ -52,29 +55,33 @@
             sender,
             feed,
             events,
-            asked_at_ms: AtomicU64::new(0),
-            told: Mutex::new(BTreeMap::new()),
+            requested_at_ms: AtomicU64::new(0),
+            peer_revisions: Mutex::new(BTreeMap::new()),
         }
     }
 
-    /// Takes note of the revision and the store contact in a heartbeat, and asks the peer
-    /// for its configuration if that is needed.
-    pub(super) fn note_heartbeat(&self, from: &str, heartbeat: &Heartbeat) {
+    /// Records the revision and the age of the store contact in a heartbeat. Requests a
+    /// snapshot from the peer if its configuration is newer and [`Snapshots::may_request`]
+    /// allows it.
+    pub(super) fn observe_heartbeat(&self, from: &str, heartbeat: &Heartbeat) {
         let age_ms = heartbeat.store_contact_age_ms;
         let revision = heartbeat.config_revision;
-        let behind = self.feed.note_peer(revision, age_ms);
+        let is_behind = self.feed.note_peer(revision, age_ms);
         let contact_at_ms =
             age_ms.map(|age_ms| self.clock.now_ms().saturating_sub(age_ms));
         if let Some(contact_at_ms) = contact_at_ms {
-            let told = Told {
+            let reported = PeerRevision {
                 revision,
                 contact_at_ms,
             };
-            let mut peers = self.told.lock().unwrap_or_else(PoisonError::into_inner);
-            peers.insert(from.to_string(), told);
+            let mut peers = self
+                .peer_revisions
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
+            peers.insert(from.to_string(), reported);
         }
         let has_configuration = heartbeat.state != HeartbeatState::Starting;
-        if behind && has_configuration && self.may_ask() {
+        if is_behind && has_configuration && self.may_request() {
             let current = self.feed.current();
             let newer_than_revision = current.map_or(0, |current| current.revision);
             let request = MessageBody::SnapshotRequest {
@@ -84,41 +91,44 @@
         }
     }
 
-    /// The store tells of most changes soon. A snapshot is large, and each heartbeat of a
-    /// peer that heard of the change first would bring one, so peers are asked only if the
-    /// store does not answer, and one at a time.
-    fn may_ask(&self) -> bool {
+    /// Whether a snapshot may be requested now. If so, records a request.
+    ///
+    /// Most changes soon arrive from the store. A snapshot is large, and without this check
+    /// each heartbeat of a peer that received a change earlier would cause one. Snapshots are
+    /// therefore requested only if the store does not answer, and from one peer at a time.
+    fn may_request(&self) -> bool {
         let now_ms = self.clock.now_ms();
         let age_ms = self.feed.store_contact_age_ms();
-        let store_answers = age_ms.is_some_and(|age_ms| age_ms < SNAPSHOT_AFTER_MS);
-        let last_ms = self.asked_at_ms.load(Ordering::Relaxed);
-        if store_answers || now_ms < last_ms + SNAPSHOT_INTERVAL_MS {
+        let store_answers = age_ms.is_some_and(|age_ms| age_ms < STORE_SILENCE_MS);
+        let last_ms = self.requested_at_ms.load(Ordering::Relaxed);
+        if store_answers || now_ms < last_ms + REQUEST_INTERVAL_MS {
             return false;
         }
-        self.asked_at_ms.store(now_ms, Ordering::Relaxed);
+        self.requested_at_ms.store(now_ms, Ordering::Relaxed);
         true
     }
 
-    /// Takes the configuration of a peer.
-    pub(super) fn take(&self, from: &str, body: &[u8]) {
+    /// Applies the snapshot that a peer has sent.
+    pub(super) fn apply(&self, from: &str, body: &[u8]) {
         let configuration: Configuration = match serde_json::from_slice(body) {
             Ok(configuration) => configuration,
             Err(error) => return log::warn!("event=bad_snapshot error={error}"),
         };
-        let age_ms = self.told_age_ms(from, configuration.revision);
+        let age_ms = self.snapshot_age_ms(from, configuration.revision);
         if self.feed.current().is_none() {
-            // A configuration of unknown age could be years old, and offline_grace_s
-            // would not end its use. The peer is asked again after its next heartbeat.
+            // A configuration of unknown age could be years old, and `offline_grace_s`
+            // would not limit its use. The peer's next heartbeat causes a new request.
             let Some(age_ms) = age_ms else {
                 return log::warn!("event=snapshot_of_unknown_age from={from}");
             };
-            self.tell_contact(age_ms);
+            self.send_store_contact(age_ms);
         }
         self.feed.offer_peer_snapshot(configuration, age_ms);
     }
 
-    /// Gives the configuration to a peer, with the withdrawals that it does not show.
-    pub(super) fn give(&self, to: &str, newer_than_revision: u64) {
+    /// Sends the configuration to a peer if it is newer than the peer's. Withdrawn keys that
+    /// the configuration does not show as withdrawn yet are sent before it.
+    pub(super) fn send(&self, to: &str, newer_than_revision: u64) {
         let Some(configuration) = self.feed.current() else {
             return;
         };
@@ -136,23 +146,29 @@
         }
     }
 
-    /// Age of the contact with the store that a peer had when the store held nothing newer
-    /// than `revision`.
-    fn told_age_ms(&self, from: &str, revision: u64) -> Option<u64> {
-        let peers = self.told.lock().unwrap_or_else(PoisonError::into_inner);
-        let told = peers.get(from).filter(|told| told.revision <= revision)?;
-        Some(self.clock.now_ms().saturating_sub(told.contact_at_ms))
+    /// Age of a peer's last contact with the store at which the store held nothing newer than
+    /// `revision`. `None` if no such contact is known, in particular if the peer has since
+    /// reported a newer revision.
+    fn snapshot_age_ms(&self, from: &str, revision: u64) -> Option<u64> {
+        let peers = self
+            .peer_revisions
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let reported = peers
+            .get(from)
+            .filter(|reported| reported.revision <= revision)?;
+        Some(self.clock.now_ms().saturating_sub(reported.contact_at_ms))
     }
 
-    /// Tells the reducer of the contact before the configuration comes into force, so that
-    /// no key is accepted after `offline_grace_s`.
-    fn tell_contact(&self, age_ms: u64) {
+    /// Reports the age of the store contact to the reducer. Done before the configuration is
+    /// applied, so that no key is accepted later than `offline_grace_s` after that contact.
+    fn send_store_contact(&self, age_ms: u64) {
         let inputs = [
             Input::Schedule(Event::StoreContact { age_ms }),
             Input::Fleet(FleetEvent::ContactAge(Some(age_ms))),
         ];
         for input in inputs {
-            // The runner outlives this thread, so this fails only after a panic there.
+            // The runner outlives this thread, so this fails only after a panic in the runner.
             let _ = self.events.send(RunnerEvent::Reducer(input));
         }
     }
--- a/crates/core/src/store_link/mod.rs
+++ b/crates/core/src/store_link/mod.rs
@@ -1,7 +1,8 @@
-//! Carries the fleet step's reads and writes to the store.
+//! Performs the reducer's reads and writes of the store.
 //!
-//! One thread reads what all instances share at a fixed interval, another one carries out
-//! the reducer's requests in order. Neither holds up calls.
+//! One thread reads the shared records (registrations and home weights) at a fixed interval,
+//! another one performs the effects that the reducer sends, in order. Both report the
+//! results to the reducer as events, so a slow store does not delay calls.
 
 mod reader;
 mod writer;
@@ -19,9 +20,9 @@
 use crate::clock::Clock;
 use crate::peer_link::PeerSender;
 use crate::shell::RunnerEvent;
-use crate::store_link::reader::Reader;
+use crate::store_link::reader::StoreReader;
 
-/// What the store threads share.
+/// What both threads need to use the store and to report to the reducer.
 #[derive(Clone)]
 struct Context {
     clock: Clock,
@@ -36,10 +37,12 @@
     }
 }
 
-/// The threads that talk to the store for the fleet step.
+/// Handle of the two threads that use the store for the reducer.
 pub(crate) struct StoreLink {
     effects: Sender<FleetEffect>,
-    read_now: Sender<()>,
+    /// Makes the reader read at once.
+    read_requests: Sender<()>,
+    /// Makes the reader end.
     stopped: Arc<AtomicBool>,
     reader: JoinHandle<()>,
     writer: JoinHandle<()>,
@@ -65,50 +68,52 @@
             store,
             events,
         };
-        let (effects, inbox) = unbounded();
-        let (read_now, requests) = bounded(1);
+        let (effects, queued_effects) = unbounded();
+        let (read_requests, requested_reads) = bounded(1);
         let stopped = Arc::new(AtomicBool::new(false));
-        let reader = Reader {
+        let reader = StoreReader {
             context: context.clone(),
             registration,
             feed,
             peers,
             own: own.clone(),
             stopped: Arc::clone(&stopped),
-            renewed_at_ms: None,
+            last_renewal_ms: None,
         };
         let reader = thread::Builder::new()
             .name("store-reader".to_string())
-            .spawn(move || reader.run(&requests))
+            .spawn(move || reader.run(&requested_reads))
             .wrap_err("cannot start the store reader")?;
         let writer = thread::Builder::new()
             .name("store-writer".to_string())
-            .spawn(move || writer::run(&context, &own, &inbox))
+            .spawn(move || writer::run(&context, &own, &queued_effects))
             .wrap_err("cannot start the store writer")?;
         Ok(StoreLink {
             effects,
-            read_now,
+            read_requests,
             stopped,
             reader,
             writer,
         })
     }
 
-    /// Where the runner sends effects for the store.
+    /// Queue into which the runner puts the effects that concern the store.
     pub(crate) fn effects(&self) -> Sender<FleetEffect> {
         self.effects.clone()
     }
 
-    /// Asks for a read of the registrations, because a peer is not known yet.
-    pub(crate) fn read_now(&self) -> Sender<()> {
-        self.read_now.clone()
+    /// Requests an early read of the registrations. Used when a message is addressed to a
+    /// peer whose address is not known yet.
+    pub(crate) fn read_requests(&self) -> Sender<()> {
+        self.read_requests.clone()
     }
 
-    /// Ends the threads, at most one store deadline later. The runner must have ended.
+    /// Ends the threads. Blocks for at most the timeout of one store request. The runner must
+    /// have ended, since the writer runs until all senders of effects are dropped.
     pub(crate) fn close(self) {
         drop(self.effects);
         self.stopped.store(true, Ordering::SeqCst);
-        let _ = self.read_now.try_send(());
+        let _ = self.read_requests.try_send(());
         let _ = self.reader.join();
         let _ = self.writer.join();
     }
--- a/crates/core/src/store_link/reader.rs
+++ b/crates/core/src/store_link/reader.rs
@@ -1,4 +1,4 @@
-//! Reads what all instances share.
+//! Reads the records that all instances share: registrations and home weights.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,49 +18,56 @@
 use crate::store_link::Context;
 use crate::store_link::writer::report_own_successor;
 
-/// Time between two reads of the registrations and the home weights. Two reads fit into
-/// the 5 s that count as uninterrupted contact.
+/// Interval at which the registrations and the home weights are read. Two reads fit into the
+/// 5 s up to which contact with the store counts as uninterrupted.
 const READ_INTERVAL_MS: u64 = 2_000;
 
-/// Time between two looks at the own registration and the feed. These are local.
-const LOCAL_INTERVAL_MS: u64 = 200;
+/// Interval at which the state of the own registration and of the configuration feed is sent
+/// to the reducer. Reading it needs no request to the store.
+const LOCAL_STATE_INTERVAL_MS: u64 = 200;
 
-/// After this time without a renewal of the registration the own takeover record is read.
-/// A takeover needs the lease to end and 5 s more, and no lease is shorter than 1 s.
+/// If the registration was not renewed for this long, the own takeover record is read when it
+/// is renewed again. Another process can take over at the earliest 5 s after the lease has
+/// expired, and no lease is shorter than 1 s, so a shorter gap cannot hide a takeover.
 const SUCCESSOR_CHECK_MS: u64 = 5_000;
 
-/// Reads until it is stopped.
-pub(super) struct Reader {
+/// The reading thread.
+pub(super) struct StoreReader {
     pub(super) context: Context,
     pub(super) registration: Arc<Registration>,
     pub(super) feed: Arc<ConfigurationFeed>,
+    /// Gets the addresses of the registered peers.
     pub(super) peers: PeerSender,
     pub(super) own: Incarnation,
     pub(super) stopped: Arc<AtomicBool>,
-    pub(super) renewed_at_ms: Option<u64>,
+    /// When the last renewal that was reported to the reducer was sent.
+    pub(super) last_renewal_ms: Option<u64>,
 }
 
-impl Reader {
-    /// Reads at a fixed interval, and at once when asked to.
-    pub(super) fn run(mut self, requests: &Receiver<()>) {
+impl StoreReader {
+    /// Reads every [`READ_INTERVAL_MS`], and earlier when a read is requested, until `stopped`
+    /// is set.
+    pub(super) fn run(mut self, read_requests: &Receiver<()>) {
         let mut next_read_ms = 0;
-        let interval = Duration::from_millis(LOCAL_INTERVAL_MS);
+        let interval = Duration::from_millis(LOCAL_STATE_INTERVAL_MS);
         while !self.stopped.load(Ordering::SeqCst) {
             let now_ms = self.context.clock.now_ms();
             if now_ms >= next_read_ms {
                 next_read_ms = now_ms + READ_INTERVAL_MS;
                 self.read_registrations();
-                self.read_home();
+                read_home_weights(&self.context);
             }
-            self.tell_local_state();
-            if requests.recv_timeout(interval).is_ok() {
+            self.send_local_state();
+            if read_requests.recv_timeout(interval).is_ok() {
                 next_read_ms = 0;
                 thread::sleep(interval);
             }
         }
     }
 
-    fn tell_local_state(&mut self) {
+    /// Sends the reducer the age of the last contact with the store and any new renewal of the
+    /// registration.
+    fn send_local_state(&mut self) {
         let now_ms = self.context.clock.now_ms();
         let age_ms = self.feed.store_contact_age_ms();
         self.context.send(FleetEvent::ContactAge(age_ms));
@@ -77,10 +84,10 @@
             .map(|age_ms| now_ms.saturating_sub(age_ms));
         match renewed_at_ms {
             Some(sent_at_ms)
-                if self.renewed_at_ms.is_none_or(|last| last < sent_at_ms) =>
+                if self.last_renewal_ms.is_none_or(|last| last < sent_at_ms) =>
             {
                 self.check_own_successor(sent_at_ms);
-                self.renewed_at_ms = Some(sent_at_ms);
+                self.last_renewal_ms = Some(sent_at_ms);
                 self.context
                     .send(FleetEvent::RegistrationRenewed { sent_at_ms });
             }
@@ -88,10 +95,11 @@
         }
     }
 
-    /// After a time without renewals another process may have taken over the programs.
+    /// Reads the own takeover record if the registration was not renewed for so long that
+    /// another process may have taken over the programs.
     fn check_own_successor(&self, sent_at_ms: u64) {
         let gap_ms = self
-            .renewed_at_ms
+            .last_renewal_ms
             .map_or(0, |last| sent_at_ms.saturating_sub(last));
         if gap_ms >= SUCCESSOR_CHECK_MS {
             report_own_successor(&self.context, &self.own);
@@ -110,7 +118,7 @@
                     .into_iter()
                     .map(|entry| entry.record.value)
                     .collect();
-                self.set_peers(&registered);
+                self.update_peer_addresses(&registered);
                 let event = FleetEvent::RegistrationsRead {
                     sent_at_ms,
                     registered,
@@ -122,7 +130,8 @@
         }
     }
 
-    fn set_peers(&self, registered: &[Registered]) {
+    /// Passes the addresses of all other registered instances to the peer network.
+    fn update_peer_addresses(&self, registered: &[Registered]) {
         let others = registered
             .iter()
             .filter(|entry| entry.incarnation.instance != self.own.instance);
@@ -135,14 +144,10 @@
         let now_ms = self.context.clock.now_ms();
         self.peers.set_registered(now_ms, peers);
     }
-
-    fn read_home(&self) {
-        read_home(&self.context);
-    }
 }
 
-/// Reads the home weights.
-pub(super) fn read_home(context: &Context) {
+/// Reads the home weights of all instances and sends them to the reducer.
+pub(super) fn read_home_weights(context: &Context) {
     let sent_at_ms = context.clock.now_ms();
     match home_record::<HomeRecord>(&context.store).read() {
         Ok(found) => {
--- a/crates/core/src/store_link/writer.rs
+++ b/crates/core/src/store_link/writer.rs
@@ -1,4 +1,4 @@
-//! Carries out the reducer's requests to the store, in order.
+//! Performs the store effects of the reducer, in order.
 
 use crossbeam::channel::Receiver;
 use jayreel_fleet::{FleetEffect, FleetEvent};
@@ -10,18 +10,20 @@
 use jayreel_store::{Condition, Transaction, Write, budget_record, takeover_record};
 
 use crate::store_link::Context;
-use crate::store_link::reader::read_home;
+use crate::store_link::reader::read_home_weights;
 
-/// Attempts to create a takeover record when answers are lost.
+/// How often the creation of a takeover record is attempted when the store's response is
+/// lost or the transaction is rejected.
 const CLAIM_ATTEMPTS: u32 = 3;
 
-/// Carries out the requests of the reducer until it has ended.
-pub(super) fn run(context: &Context, own: &Incarnation, inbox: &Receiver<FleetEffect>) {
+/// Performs effects until all senders are dropped.
+pub(super) fn run(context: &Context, own: &Incarnation, effects: &Receiver<FleetEffect>) {
+    // 0 as long as this process has written no budget record.
     let mut budget_version = 0;
-    for effect in inbox {
+    for effect in effects {
         match effect {
             FleetEffect::ClaimTakeover { of, record } => {
-                claim(context, own, of, record);
+                claim_takeover(context, own, of, record);
             }
             FleetEffect::ReadBudget { of } => read_budget(context, of),
             FleetEffect::WriteBudget(record) => {
@@ -32,7 +34,7 @@
                 version,
                 requires_absent,
             } => {
-                write_home(context, &record, version, &requires_absent);
+                write_home_weights(context, &record, version, &requires_absent);
             }
             FleetEffect::ListTags { .. }
             | FleetEffect::SendOrder { .. }
@@ -42,12 +44,18 @@
     }
 }
 
-/// Creates the takeover record of `of`, unless it exists or this process has a successor
-/// itself: two processes could otherwise succeed each other.
-fn claim(context: &Context, own: &Incarnation, of: Incarnation, record: TakeoverRecord) {
+/// Creates the takeover record of the process `of`, unless it exists or this process has a
+/// successor itself; without the second condition two processes could succeed each other.
+/// If the outcome stays unknown, the reducer is told so.
+fn claim_takeover(
+    context: &Context,
+    own: &Incarnation,
+    of: Incarnation,
+    record: TakeoverRecord,
+) {
     for _ in 0..CLAIM_ATTEMPTS {
         match takeover_record::<TakeoverRecord>(&context.store, &of).read() {
-            Ok(Some(found)) => return report_takeover(context, of, found.value),
+            Ok(Some(found)) => return send_takeover(context, of, found.value),
             Ok(None) => {}
             Err(error) => {
                 log::warn!("event=takeover_unread of={of} error={error:?}");
@@ -70,9 +78,9 @@
         };
         match context.store.commit(transaction) {
             Ok(commit) if commit.succeeded => {
-                return report_takeover(context, of, record);
+                return send_takeover(context, of, record);
             }
-            // Refused or unknown: the next read tells.
+            // Rejected or unknown: the read in the next attempt shows which record exists.
             Ok(_) => report_own_successor(context, own),
             Err(error) => {
                 log::warn!("event=takeover_unconfirmed of={of} error={error:?}")
@@ -82,19 +90,20 @@
     context.send(FleetEvent::TakeoverUnconfirmed { of });
 }
 
-fn report_takeover(context: &Context, of: Incarnation, record: TakeoverRecord) {
+fn send_takeover(context: &Context, of: Incarnation, record: TakeoverRecord) {
     let successor = &record.successor;
     log::info!("event=takeover of={of} successor={successor}");
     context.send(FleetEvent::TakeoverRead { of, record });
 }
 
-/// Reports the process that has taken over the programs of this one, if there is one.
+/// Tells the reducer which process has taken over the programs of this one, if there is one.
 pub(super) fn report_own_successor(context: &Context, own: &Incarnation) {
     if let Ok(Some(found)) = takeover_record(&context.store, own).read() {
-        report_takeover(context, own.clone(), found.value);
+        send_takeover(context, own.clone(), found.value);
     }
 }
 
+/// Reads the budget record of the process `of`, whose programs this process takes over.
 fn read_budget(context: &Context, of: Incarnation) {
     match budget_record::<BudgetRecord>(&context.store, &of).read() {
         Ok(found) => {
@@ -108,8 +117,9 @@
     }
 }
 
-/// Writes the own budget record while nobody has taken over. Only this process writes it,
-/// so the last version written is current unless an answer was lost.
+/// Writes the budget record of this process unless another process has taken over. Only this
+/// process writes the record, so the version that it wrote last is the current one unless a
+/// response of the store was lost.
 fn write_budget(
     context: &Context,
     own: &Incarnation,
@@ -144,14 +154,15 @@
         outcome => {
             log::warn!("event=budget_unwritten outcome={outcome:?}");
             report_own_successor(context, own);
-            reread_budget(context, own, &record, version)
+            is_budget_written(context, own, &record, version)
         }
     };
     context.send(FleetEvent::GrantsWritten { record, confirmed });
 }
 
-/// Whether the record was written although the answer was lost.
-fn reread_budget(
+/// Whether the record was written although the response was lost. Also updates `version` to
+/// that of the record in the store.
+fn is_budget_written(
     context: &Context,
     own: &Incarnation,
     record: &BudgetRecord,
@@ -166,7 +177,9 @@
     }
 }
 
-fn write_home(
+/// Replaces the home weights if they still have `version` and no instance named in
+/// `requires_absent` is registered. Reads them again in any case.
+fn write_home_weights(
     context: &Context,
     record: &HomeRecord,
     version: u64,
@@ -200,5 +213,5 @@
         }
         Err(error) => log::warn!("event=home_unwritten error={error:?}"),
     }
-    read_home(context);
+    read_home_weights(context);
 }
