--- a/crates/core/src/engine_link.rs
+++ b/crates/core/src/engine_link.rs
@@ -1,4 +1,9 @@
-//! Reports, probes, cache releases and orders of endpoints.
+//! Requests to endpoints that do not come from callers.
+//!
+//! Polls engines for their load and models, and performs the reducer's effects: probes,
+//! orders to load or unload models, and listing and release of cache tags. All of it runs
+//! on separate threads and reports to the reducer as events, so that a slow endpoint does not
+//! delay calls.
 
 mod poller;
 
@@ -15,21 +20,23 @@
 use jayreel_scheduler::Event;
 
 use crate::clock::Clock;
-use crate::engine_link::poller::Poller;
+use crate::engine_link::poller::EnginePoller;
 use crate::logging::Value;
 use crate::shell::RunnerEvent;
 
-/// Threads for probes, releases and orders.
-const WORKERS: usize = 4;
+/// Number of threads that perform the reducer's effects.
+const WORKER_THREADS: usize = 4;
 
-/// Tasks that may wait. The reducer repeats what is dropped.
-const MAX_WAITING_TASKS: usize = 1_000;
+/// Length of the queue of tasks. Tasks beyond it are dropped, which is safe because the
+/// reducer repeats them.
+const MAX_QUEUED_TASKS: usize = 1_000;
 
-/// Deadline for the connection of a probe.
+/// Connect timeout of a probe.
 const PROBE_TIMEOUT_MS: u64 = 1_000;
 
+/// An effect of the reducer, with the address of the endpoint that it concerns.
 enum Task {
-    List {
+    ListCacheTags {
         endpoint: String,
         address: String,
     },
@@ -43,22 +50,25 @@
         endpoint: String,
         address: String,
     },
-    Release {
+    ReleaseCache {
         endpoint: String,
         address: String,
         cache_tag: String,
     },
 }
 
-/// Control of engines, on threads of its own.
+/// Handle of the threads that send requests to endpoints. Its methods queue a task and
+/// return at once.
 #[derive(Clone)]
 pub(crate) struct EngineLink {
     tasks: Sender<Task>,
+    /// The configuration in force, for the addresses of endpoints.
     configuration: Arc<Mutex<Option<Arc<Configuration>>>>,
 }
 
 impl EngineLink {
-    /// Starts the threads. They end when all clones and `stop` are dropped.
+    /// Starts the threads. The workers end when all clones are dropped, and the polling, which
+    /// is done every `load_interval_ms`, ends when the sender of `stop` is dropped.
     ///
     /// # Errors
     ///
@@ -70,32 +80,33 @@
         events: Sender<RunnerEvent>,
         stop: Receiver<()>,
     ) -> eyre::Result<EngineLink> {
-        let (tasks, inbox) = bounded(MAX_WAITING_TASKS);
+        let (tasks, queued_tasks) = bounded(MAX_QUEUED_TASKS);
         let configuration = Arc::new(Mutex::new(None));
-        for _ in 0..WORKERS {
+        for _ in 0..WORKER_THREADS {
             let worker = Worker {
                 control: Arc::clone(&control),
                 events: events.clone(),
-                tasks: inbox.clone(),
+                tasks: queued_tasks.clone(),
             };
             thread::Builder::new()
                 .name("engine-control".to_string())
                 .spawn(move || worker.run())
-                .wrap_err("cannot start a thread for engine control")?;
+                .wrap_err("cannot start an engine control thread")?;
         }
-        let poller = Poller::start(clock, control, events, Arc::clone(&configuration))?;
+        let poller =
+            EnginePoller::start(clock, control, events, Arc::clone(&configuration))?;
         let interval = Duration::from_millis(load_interval_ms);
         thread::Builder::new()
             .name("engine-load".to_string())
             .spawn(move || poller.run(interval, &stop))
-            .wrap_err("cannot start the thread for reports of engines")?;
+            .wrap_err("cannot start the engine polling thread")?;
         Ok(EngineLink {
             tasks,
             configuration,
         })
     }
 
-    /// Takes over the endpoints.
+    /// Replaces the configuration, whose endpoints are polled from now on.
     pub(crate) fn set_configuration(&self, configuration: &Arc<Configuration>) {
         let mut current = self
             .configuration
@@ -104,22 +115,24 @@
         *current = Some(Arc::clone(configuration));
     }
 
-    /// Asks an endpoint whether it is ready.
+    /// Checks whether an endpoint accepts connections. Reported as `ProbeFinished`.
     pub(crate) fn probe(&self, endpoint: String, address: String) {
         let _ = self.tasks.try_send(Task::Probe { endpoint, address });
     }
 
-    /// Asks an engine for the cache tags that it holds.
+    /// Requests the cache tags that an engine holds. Reported as an event only on success.
     pub(crate) fn list_tags(&self, endpoint: String) {
         if let Some(address) = self.address(&endpoint) {
-            let _ = self.tasks.try_send(Task::List { endpoint, address });
+            let _ = self
+                .tasks
+                .try_send(Task::ListCacheTags { endpoint, address });
         }
     }
 
-    /// Tells an engine to drop the cache of a program.
+    /// Tells an engine to drop the cache of a program. Reported as `CacheReleased`.
     pub(crate) fn release(&self, endpoint: String, cache_tag: String) {
         if let Some(address) = self.address(&endpoint) {
-            let task = Task::Release {
+            let task = Task::ReleaseCache {
                 endpoint,
                 address,
                 cache_tag,
@@ -128,8 +141,10 @@
         }
     }
 
-    /// Sends an order to an engine. One that is dropped here has no answer, and the reducer
-    /// gives it up after some time.
+    /// Sends an order to an engine. Reported as `OrderAnswered`, unless the queue is full or
+    /// the endpoint is not configured; the reducer gives up an order without an answer after
+    /// some time. An engine rejects an order whose `fencing` number is
+    /// lower than that of an earlier one, if it checks the numbers.
     pub(crate) fn order(&self, endpoint: String, fencing: u64, order: EngineOrder) {
         if let Some(address) = self.address(&endpoint) {
             let task = Task::Order {
@@ -142,6 +157,7 @@
         }
     }
 
+    /// `None` if the endpoint is not in the configuration.
     fn address(&self, endpoint: &str) -> Option<String> {
         let current = self
             .configuration
@@ -152,6 +168,7 @@
     }
 }
 
+/// One of the threads that perform tasks.
 struct Worker {
     control: Arc<dyn EngineControl>,
     events: Sender<RunnerEvent>,
@@ -162,29 +179,31 @@
     fn run(self) {
         for task in &self.tasks {
             match task {
-                Task::List { endpoint, address } => self.list(endpoint, &address),
+                Task::ListCacheTags { endpoint, address } => {
+                    self.list_cache_tags(endpoint, &address)
+                }
                 Task::Order {
                     endpoint,
                     address,
                     fencing,
                     order,
-                } => self.order(endpoint, &address, fencing, &order),
+                } => self.send_order(endpoint, &address, fencing, &order),
                 Task::Probe { endpoint, address } => {
-                    let healthy = is_reachable(&address);
+                    let healthy = accepts_connections(&address);
                     self.schedule(Event::ProbeFinished { endpoint, healthy });
                 }
-                Task::Release {
+                Task::ReleaseCache {
                     endpoint,
                     address,
                     cache_tag,
                 } => {
-                    self.release(endpoint, &address, cache_tag);
+                    self.release_cache(endpoint, &address, cache_tag);
                 }
             }
         }
     }
 
-    fn list(&self, endpoint: String, address: &str) {
+    fn list_cache_tags(&self, endpoint: String, address: &str) {
         match self.control.cache_tags(address) {
             Ok(tags) => {
                 let event = FleetEvent::TagsListed { endpoint, tags };
@@ -196,7 +215,13 @@
         }
     }
 
-    fn order(&self, endpoint: String, address: &str, fencing: u64, order: &EngineOrder) {
+    fn send_order(
+        &self,
+        endpoint: String,
+        address: &str,
+        fencing: u64,
+        order: &EngineOrder,
+    ) {
         let text = format!("{order:?}");
         let text = Value(&text);
         let outcome = self.control.send_order(address, fencing, order);
@@ -217,7 +242,7 @@
         let _ = self.events.send(RunnerEvent::Reducer(Input::Fleet(event)));
     }
 
-    fn release(&self, endpoint: String, address: &str, cache_tag: String) {
+    fn release_cache(&self, endpoint: String, address: &str, cache_tag: String) {
         let result = self.control.release_cache(address, &cache_tag);
         if let Err(error) = &result {
             log::warn!("event=cache_not_released endpoint={endpoint} error={error:?}");
@@ -237,8 +262,9 @@
     }
 }
 
-/// Whether an endpoint accepts connections. Plain services have no common health check.
-fn is_reachable(address: &str) -> bool {
+/// Whether an endpoint accepts connections. This is all that a probe can test, since plain
+/// services have no common health check.
+fn accepts_connections(address: &str) -> bool {
     let timeout = Duration::from_millis(PROBE_TIMEOUT_MS);
     let address = address.parse::<SocketAddr>();
     address.is_ok_and(|address| TcpStream::connect_timeout(&address, timeout).is_ok())
--- a/crates/core/src/engine_link/poller.rs
+++ b/crates/core/src/engine_link/poller.rs
@@ -1,4 +1,4 @@
-//! Reports that engines are asked for at regular times.
+//! Polls engines at a fixed interval for their load and their models.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,28 +16,28 @@
 use crate::clock::Clock;
 use crate::shell::RunnerEvent;
 
-/// Threads that ask. A silent engine takes one of them until its deadline, and must not
-/// hold up the reports of the others.
-const REPORTERS: usize = 16;
+/// Number of threads that send the requests. An engine that does not respond occupies one of
+/// them until the timeout, and must not delay the reports of the others.
+const POLL_THREADS: usize = 16;
 
-/// An engine that is due.
+/// An engine that is to be polled now.
 #[derive(Clone, Debug)]
 struct DueEngine {
     endpoint: String,
     address: String,
 }
 
-/// Decides which engines are asked.
-pub(super) struct Poller {
+/// Queues all engines of the configuration for polling, at a fixed interval.
+pub(super) struct EnginePoller {
     pub(super) configuration: Arc<Mutex<Option<Arc<Configuration>>>>,
     due: Sender<DueEngine>,
-    /// Engines that have not answered yet. They are not asked a second time, so at most
-    /// one thread waits for each.
-    outstanding: Arc<Mutex<BTreeSet<String>>>,
+    /// Names of the engines that are queued or being polled. They are not queued a second
+    /// time, so at most one thread waits for each.
+    in_progress: Arc<Mutex<BTreeSet<String>>>,
 }
 
-impl Poller {
-    /// Starts the threads that ask. They end with the poller.
+impl EnginePoller {
+    /// Starts the threads that send the requests. They end when the poller is dropped.
     ///
     /// # Errors
     ///
@@ -47,42 +47,44 @@
         control: Arc<dyn EngineControl>,
         events: Sender<RunnerEvent>,
         configuration: Arc<Mutex<Option<Arc<Configuration>>>>,
-    ) -> eyre::Result<Poller> {
-        let (due, inbox) = unbounded();
-        let outstanding = Arc::default();
-        for _ in 0..REPORTERS {
-            let reporter = Reporter {
+    ) -> eyre::Result<EnginePoller> {
+        let (due, queued_engines) = unbounded();
+        let in_progress = Arc::default();
+        for _ in 0..POLL_THREADS {
+            let worker = PollWorker {
                 clock,
                 control: Arc::clone(&control),
                 events: events.clone(),
-                due: inbox.clone(),
-                outstanding: Arc::clone(&outstanding),
+                due: queued_engines.clone(),
+                in_progress: Arc::clone(&in_progress),
             };
             thread::Builder::new()
                 .name("engine-report".to_string())
-                .spawn(move || reporter.run())
-                .wrap_err("cannot start a thread for reports of engines")?;
+                .spawn(move || worker.run())
+                .wrap_err("cannot start an engine polling thread")?;
         }
-        Ok(Poller {
+        Ok(EnginePoller {
             configuration,
             due,
-            outstanding,
+            in_progress,
         })
     }
 
-    /// Runs until the sender of `stop` is dropped.
+    /// Queues the engines every `interval` until the sender of `stop` is dropped.
     pub(super) fn run(self, interval: Duration, stop: &Receiver<()>) {
         while let Err(RecvTimeoutError::Timeout) = stop.recv_timeout(interval) {
-            for engine in self.engines() {
-                if lock(&self.outstanding).insert(engine.endpoint.clone()) {
-                    // The threads end only after this sender is dropped.
+            for engine in self.configured_engines() {
+                if lock(&self.in_progress).insert(engine.endpoint.clone()) {
+                    // Does not fail: the threads hold the receiver until this sender is
+                    // dropped.
                     let _ = self.due.send(engine);
                 }
             }
         }
     }
 
-    fn engines(&self) -> Vec<DueEngine> {
+    /// All model engines that are not removed.
+    fn configured_engines(&self) -> Vec<DueEngine> {
         let current = self
             .configuration
             .lock()
@@ -107,24 +109,26 @@
     names.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Asks engines for their load and their models.
-struct Reporter {
+/// One of the threads that request the load and the models of engines.
+struct PollWorker {
     clock: Clock,
     control: Arc<dyn EngineControl>,
     events: Sender<RunnerEvent>,
     due: Receiver<DueEngine>,
-    outstanding: Arc<Mutex<BTreeSet<String>>>,
+    in_progress: Arc<Mutex<BTreeSet<String>>>,
 }
 
-impl Reporter {
+impl PollWorker {
     fn run(self) {
         for engine in &self.due {
-            self.report(&engine);
-            lock(&self.outstanding).remove(&engine.endpoint);
+            self.poll(&engine);
+            lock(&self.in_progress).remove(&engine.endpoint);
         }
     }
 
-    fn report(&self, engine: &DueEngine) {
+    /// Reports the load and the models to the reducer. An engine that does not report its load
+    /// is not asked for its models, and nothing is reported.
+    fn poll(&self, engine: &DueEngine) {
         let Ok(load) = self.control.load(&engine.address) else {
             return;
         };
@@ -140,12 +144,12 @@
         let _ = self
             .events
             .send(RunnerEvent::Reducer(Input::Schedule(event)));
-        self.report_models(&engine.endpoint, &engine.address);
+        self.poll_models(&engine.endpoint, &engine.address);
     }
 
-    /// Passes on what an engine has loaded. Engines without this report answer with an
-    /// error and count as having what the configuration says.
-    fn report_models(&self, endpoint: &str, address: &str) {
+    /// Reports the models that an engine has loaded. Engines without support for this request
+    /// respond with an error, and are assumed to have the models in the configuration.
+    fn poll_models(&self, endpoint: &str, address: &str) {
         let sent_at_ms = self.clock.now_ms();
         let models = match self.control.models(address) {
             Ok(models) => models,
