--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of endpoints, connections, instances and the store, alone and in pairs.
+//! Faults of endpoints, connections, instances and the store, one at a time and in pairs.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Barrier};
@@ -10,20 +10,20 @@
 };
 use serde_json::{Value, json};
 
-use crate::util::caller::{Answer, Caller};
+use crate::util::caller::{Caller, Response};
 use crate::util::fleet::{ALPHA_KEY, Fleet};
 use crate::util::operator::operate;
 use crate::util::relay::{Mode, Relay};
-use crate::util::{count, wait_until};
+use crate::util::{run_count, wait_until};
 
-/// Time of one piece of work that never ends within a test.
+/// Duration of work that does not end within a test.
 const NEVER_MS: u64 = 3_600_000;
 
-/// Most calls until one of them reaches a given endpoint.
+/// Maximum number of calls sent until one of them reaches a given endpoint.
 const MAX_TRIES: usize = 50;
 
-/// Short deadlines for endpoints, so that a silent one is noticed within a test.
-const SHORT_PROGRESS: &[(&str, &str, &str)] = &[
+/// Progress timeouts so short that an endpoint without a response is noticed within a test.
+const SHORT_PROGRESS_TIMEOUTS: &[(&str, &str, &str)] = &[
     ("endpoints", "service_progress_timeout_ms", "1500"),
     ("endpoints", "engine_progress_timeout_ms", "1500"),
 ];
@@ -36,6 +36,7 @@
     PlainService::start(any_port(), ServiceSettings { work_ms }).unwrap()
 }
 
+/// Configuration record of a plain service.
 fn service_record(address: SocketAddr) -> Value {
     json!({
         "kind": "plain_service",
@@ -46,6 +47,7 @@
     })
 }
 
+/// Configuration record of a model engine.
 fn engine_record(address: SocketAddr) -> Value {
     json!({
         "kind": "model_engine",
@@ -57,7 +59,8 @@
     })
 }
 
-/// Waits until every instance has the newest configuration in force.
+/// Waits until every instance has applied all earlier changes. Creates a profile and waits
+/// until every instance knows it.
 fn wait_configured(fleet: &Fleet) {
     let created = operate(fleet.admin(0), &["profile", "create", "marker"]);
     assert!(created.code == 0 || created.code == 3, "{created:?}");
@@ -73,18 +76,19 @@
 }
 
 // Guards against a non-repeatable call that is sent to a second endpoint, or reported as
-// not run, after the first one took the request and went silent (G10, G11).
+// not run, after the first one accepted the request and did not respond (G10, G11).
 #[test]
 fn silent_endpoint_leaves_a_non_repeatable_call_unknown() {
-    let fleet = Fleet::with_settings(1, EngineSettings::default(), SHORT_PROGRESS);
+    let fleet =
+        Fleet::with_settings(1, EngineSettings::default(), SHORT_PROGRESS_TIMEOUTS);
     let silent = start_service(NEVER_MS);
     fleet.put("endpoints/orders-1", &service_record(silent.address()));
     wait_configured(&fleet);
     let caller = Caller::new(ALPHA_KEY);
     for number in 0..MAX_TRIES {
         let tag = format!("claim-{number}");
-        let answer = caller.order(fleet.callers(0), &[], &tag).unwrap();
-        let runs = (count(&fleet.service, &tag), count(&silent, &tag));
+        let answer = caller.send_order(fleet.callers(0), &[], &tag).unwrap();
+        let runs = (run_count(&fleet.service, &tag), run_count(&silent, &tag));
         match runs {
             (1, 0) => assert_eq!(answer.status, 200, "{answer:?}"),
             (0, 1) => {
@@ -98,11 +102,12 @@
     panic!("no call reached the silent endpoint");
 }
 
-// Guards against repeatable calls that fail although another endpoint could serve them
-// after the first one took the request and went silent.
+// Guards against repeatable calls that fail, although another endpoint could serve them,
+// after the first one accepted the request and did not respond.
 #[test]
 fn repeatable_call_of_a_silent_endpoint_is_served_by_another() {
-    let fleet = Fleet::with_settings(1, EngineSettings::default(), SHORT_PROGRESS);
+    let fleet =
+        Fleet::with_settings(1, EngineSettings::default(), SHORT_PROGRESS_TIMEOUTS);
     let silent = start_service(NEVER_MS);
     let engine = EngineSettings {
         token_us: NEVER_MS * 1_000,
@@ -122,8 +127,8 @@
         let to = fleet.callers(0);
         let answer = caller.send(to, "GET", "/lookup/1", &headers, "").unwrap();
         assert_eq!(answer.status, 200, "{answer:?}");
-        assert_eq!(count(&fleet.service, &tag), 1);
-        count(&silent, &tag) == 1
+        assert_eq!(run_count(&fleet.service, &tag), 1);
+        run_count(&silent, &tag) == 1
     });
     assert!(reached, "no lookup reached the silent endpoint");
     let reached = (0..MAX_TRIES).any(|number| {
@@ -135,13 +140,13 @@
     assert!(reached, "no chat reached the silent engine");
 }
 
-// Guards against non-repeatable calls that fail although nothing was sent to the endpoint
-// that refused the connection, and against a refusal that says `no` for a call that ran
-// (G10).
+// Guards against non-repeatable calls that fail because an endpoint refused the connection,
+// although nothing was sent to it and another endpoint could serve them, and against a
+// refusal that reports a call as not run although it ran (G10).
 #[test]
-fn refused_connection_moves_a_non_repeatable_call() {
+fn non_repeatable_call_moves_on_after_a_refused_connection() {
     let fleet = Fleet::start(1);
-    // A call that finds no usable endpoint is refused after this wait.
+    // Time after which a call without a usable endpoint is refused.
     let profile = json!({ "budget_tokens": 100_000, "max_wait_ms": 5_000 });
     fleet.put("profiles/default", &profile);
     let other = start_service(0);
@@ -158,37 +163,37 @@
     let caller = Caller::new(ALPHA_KEY);
     for number in 0..20 {
         let tag = format!("moved-{number}");
-        let answer = caller.order(fleet.callers(0), &[], &tag).unwrap();
+        let answer = caller.send_order(fleet.callers(0), &[], &tag).unwrap();
         assert_eq!(answer.status, 200, "{answer:?}");
-        assert_eq!(count(&other, &tag), 1);
+        assert_eq!(run_count(&other, &tag), 1);
     }
     other.faults().set(refuse);
     wait_until("the other endpoint refuses connections", || {
         std::net::TcpStream::connect(other.address()).is_err()
     });
-    let answer = caller.order(fleet.callers(0), &[], "refused").unwrap();
+    let answer = caller.send_order(fleet.callers(0), &[], "refused").unwrap();
     assert!([502, 503].contains(&answer.status), "{answer:?}");
     assert_eq!(answer.ran(), "no", "{answer:?}");
     fleet.service.faults().clear();
     other.faults().clear();
     wait_until("an endpoint is in use again", || {
-        let answer = caller.order(fleet.callers(0), &[], "healed").unwrap();
+        let answer = caller.send_order(fleet.callers(0), &[], "healed").unwrap();
         assert!(answer.status == 200 || answer.ran() == "no", "{answer:?}");
         answer.status == 200
     });
     for (tag, runs) in [("refused", 0), ("healed", 1)] {
-        let seen = count(&fleet.service, tag) + count(&other, tag);
+        let seen = run_count(&fleet.service, tag) + run_count(&other, tag);
         assert_eq!(seen, runs, "{tag}");
     }
 }
 
-/// The text that the stand-in engine generates.
+/// The text that the simulated engine generates for a number of tokens.
 fn generated(tokens: u64) -> String {
     (0..tokens).map(|index| format!("{index:03x} ")).collect()
 }
 
-/// The text and usage of an answer, streamed or whole.
-fn text_and_usage(answer: &Answer, stream: bool) -> (String, Value) {
+/// The text and usage of a response, which is a stream or one JSON object.
+fn text_and_usage(answer: &Response, stream: bool) -> (String, Value) {
     if !stream {
         let json = answer.json();
         let text = json["choices"][0]["message"]["content"].as_str();
@@ -209,17 +214,17 @@
     (text, usage)
 }
 
-// Guards against answers that are cut, mixed or given to another caller when many calls
-// run at the same time at two instances, some of them forwarded (G9).
+// Guards against responses that are truncated, mixed up or sent to another caller when many
+// calls run concurrently at two instances, some of them forwarded (G9).
 #[test]
-fn crossing_answers_reach_their_own_callers_whole() {
+fn concurrent_responses_reach_their_own_callers_complete() {
     let engine = EngineSettings {
         token_us: 2_000,
         ..EngineSettings::default()
     };
     let fleet = Fleet::with_settings(2, engine, &[]);
     fleet.wait_connected();
-    fleet.wait_shares();
+    fleet.wait_home_shares();
     let threads: Vec<_> = (1..=40_u64)
         .map(|number| {
             let own = fleet.callers(number as usize % 2);
@@ -228,7 +233,7 @@
                 let caller = Caller::new(ALPHA_KEY);
                 let program = caller.open(owner, &[]);
                 let stream = number % 3 == 0;
-                // Lengths of prompt and answer tell the calls apart: the engine counts a
+                // The lengths of prompt and response identify the call: the engine counts one
                 // token for every four bytes.
                 let mut body = json!({
                     "model": "test-model",
@@ -255,13 +260,13 @@
             })
         })
         .collect();
-    // All calls end before the first failure stops the fleet.
+    // Join all threads before the first failure, which stops the fleet.
     let results: Vec<_> = threads.into_iter().map(|thread| thread.join()).collect();
     assert!(results.iter().all(Result::is_ok), "some callers failed");
 }
 
-// Guards against two changes of one version that are both accepted, or both refused, when
-// they are made at the same time at two instances (G14).
+// Guards against two changes of the same version of a record that are both accepted, or both
+// rejected, when they are made at two instances at the same time (G14).
 #[test]
 fn one_of_two_simultaneous_changes_is_accepted() {
     let fleet = Fleet::start(2);
@@ -302,7 +307,7 @@
     }
 }
 
-// Guards against an instance that misses a change made while it was paused, or applies an
+// Guards against an instance that misses a change made while it was suspended, or applies an
 // older configuration after a newer one (G14).
 #[test]
 fn paused_instance_gets_a_change_and_never_goes_back() {
@@ -339,28 +344,29 @@
         newest
     };
     wait_until("the change is in force", || observe() == 100_003);
-    // The polls and the watch of the resumed instance answer several times in this span.
+    // Long enough for several responses to the polls and the watch of the resumed instance.
     for _ in 0..40 {
         assert_eq!(observe(), 100_003);
         thread::sleep(Duration::from_millis(50));
     }
 }
 
-// Guards against reports of all engines that wait for one silent engine: load reports then
-// age, and a loaded model is not seen. Asked in turn, both get the same number of questions.
+// Guards against one engine that does not respond and delays the polling of all others, so
+// that their load reports become outdated and newly loaded models are not noticed. If the
+// engines were polled one after the other, both would get the same number of requests.
 #[test]
-fn silent_engine_holds_up_no_report_of_the_others() {
+fn silent_engine_does_not_delay_reports_of_others() {
     let more = [("endpoints", "load_interval_ms", "20")];
     let fleet = Fleet::with_settings(1, EngineSettings::default(), &more);
     let silent = Relay::new();
     silent.set(Mode::Freeze);
-    // The first one in the order of the names.
+    // Its name sorts first, so it is polled before the other engine.
     fleet.put("endpoints/a-silent", &engine_record(silent.address()));
-    wait_until("the silent engine is asked", || silent.connections() > 0);
-    // The stand-in service counts the requests by their paths.
+    wait_until("the silent engine is polled", || silent.connections() > 0);
+    // The plain service takes the place of an engine, because it counts requests by path.
     let counting = engine_record(fleet.service.address());
     fleet.put("endpoints/b-counting", &counting);
-    wait_until("the other engine is asked", || {
+    wait_until("the other engine is polled", || {
         fleet.service.runs().paths.get("GET /load") >= Some(&20)
     });
     assert!(silent.connections() <= 10, "{}", silent.connections());
--- a/tests/feature.rs
+++ b/tests/feature.rs
@@ -1,11 +1,11 @@
-//! The whole path, from a caller to an endpoint and back.
+//! The path of a call from a caller to an endpoint and back.
 
 use serde_json::Value;
 
 use crate::util::caller::Caller;
 use crate::util::fleet::{ALPHA_KEY, Fleet};
 
-// Guards against a break anywhere on the path of a call.
+// Guards against any fault that keeps a plain call from being served.
 #[test]
 fn chat_completion_is_served() {
     let fleet = Fleet::start(1);
@@ -15,7 +15,7 @@
     assert!(answer.json()["choices"][0]["message"]["content"].is_string());
 }
 
-// Guards against a caller's key reaching an endpoint.
+// Guards against a caller's key being sent to an endpoint.
 #[test]
 fn endpoint_never_sees_the_callers_key() {
     let fleet = Fleet::start(1);
@@ -26,7 +26,7 @@
     );
     assert_eq!(
         caller
-            .order(fleet.callers(0), &[], "order-1")
+            .send_order(fleet.callers(0), &[], "order-1")
             .unwrap()
             .status,
         200
@@ -35,7 +35,8 @@
     assert!(!seen.contains(ALPHA_KEY), "{seen}");
 }
 
-// Guards against serving a request without a valid key on a route that is not open.
+// Guards against requests without a valid key being served on routes that require one, and
+// refused on open routes.
 #[test]
 fn unknown_key_is_refused_as_not_run() {
     let fleet = Fleet::start(1);
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Customer keys: given, withdrawn, and never shown.
+//! Creation and withdrawal of customer keys.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -7,13 +7,14 @@
 use jayreel_standin::EngineSettings;
 use serde_json::json;
 
-use crate::util::caller::{Answer, Caller};
+use crate::util::caller::{Caller, Response};
 use crate::util::fleet::{ALPHA_KEY, BETA_KEY, Fleet};
 use crate::util::operator::operate;
 use crate::util::relay::Mode;
 use crate::util::wait_until;
 
-fn long_stream(caller: &Caller, to: SocketAddr) -> Option<Answer> {
+/// Requests a stream that does not end within a test.
+fn long_stream(caller: &Caller, to: SocketAddr) -> Option<Response> {
     let body = json!({
         "model": "test-model",
         "stream": true,
@@ -24,6 +25,7 @@
     caller.send(to, "POST", "/v1/chat/completions", &[], &body.to_string())
 }
 
+/// An engine that takes 200 s for the longest response.
 fn slow_engine() -> EngineSettings {
     EngineSettings {
         token_us: 50_000,
@@ -32,8 +34,8 @@
     }
 }
 
-// Guards against a withdrawn key that goes on working, at another instance or for a
-// stream that is under way (G7).
+// Guards against a withdrawn key that is still accepted by another instance, or whose running
+// streams continue (G7).
 #[test]
 fn withdrawn_key_stops_everywhere_and_cuts_its_streams() {
     let fleet = Fleet::with_settings(2, slow_engine(), &[]);
@@ -59,8 +61,8 @@
     }
 }
 
-// Guards against a withdrawal that waits for the store in an availability zone that is
-// cut off from it (G7).
+// Guards against a withdrawal that has no effect until the store is reachable, in an
+// availability zone that is cut off from it (G7).
 #[test]
 fn key_is_withdrawn_without_the_store() {
     let fleet = Fleet::start(2);
@@ -81,8 +83,8 @@
     }
 }
 
-// Guards against a withdrawal that is missed because the connection to the store went
-// silent while it stayed open (G7, G14).
+// Guards against an instance that misses a withdrawal because its connection to the store is
+// open but passes no traffic (G7, G14).
 #[test]
 fn withdrawal_reaches_an_instance_with_a_silent_store_connection() {
     let fleet = Fleet::start(2);
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -1,4 +1,7 @@
-//! Operators change what an engine serves, and its caretaker orders it.
+//! Changes of the models that an engine serves.
+//!
+//! An operator changes the endpoint record, and the instance that is the caretaker of the
+//! engine sends it orders to load and unload models.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -8,15 +11,17 @@
 use serde_json::{Value, json};
 use test_case::test_case;
 
-use crate::util::caller::{Answer, Caller};
+use crate::util::caller::{Caller, Response};
 use crate::util::fleet::{ALPHA_KEY, Fleet};
 use crate::util::operator::operate;
 use crate::util::wait_until;
 
+/// How long the simulated engine takes to load a model.
 const LOAD_MS: u64 = 500;
 
-/// Two instances and an engine that loads by order.
-fn fleet(checks_fencing: bool) -> Fleet {
+/// Starts two instances and an engine that loads models by order. `checks_fencing` says
+/// whether the engine rejects orders with an older fencing number.
+fn start_fleet(checks_fencing: bool) -> Fleet {
     let engine = EngineSettings {
         models: vec!["test-model".to_string()],
         reports_models: true,
@@ -30,8 +35,8 @@
     fleet
 }
 
-/// Changes the endpoint and returns the version of its record.
-fn change(fleet: &Fleet, options: &[&str]) -> u64 {
+/// Changes the endpoint record of the engine and returns its new version.
+fn change_endpoint(fleet: &Fleet, options: &[&str]) -> u64 {
     let mut args = vec!["endpoint", "change", "engine-0"];
     args.extend(options);
     let outcome = operate(fleet.admin(0), &args);
@@ -39,7 +44,8 @@
     outcome.json["version"].as_u64().unwrap()
 }
 
-fn call(caller: &Caller, to: SocketAddr, model: &str) -> Answer {
+/// Sends a chat completion for `model`.
+fn chat_with_model(caller: &Caller, to: SocketAddr, model: &str) -> Response {
     let message = json!({ "role": "user", "content": "hello" });
     let body = json!({ "model": model, "max_tokens": 8, "messages": [message] });
     let path = "/v1/chat/completions";
@@ -48,7 +54,8 @@
         .unwrap()
 }
 
-/// What the engine has loaded, as `MODEL:VERSION` and `ADAPTER@MODEL`.
+/// The models and adapters that the engine has loaded, as `MODEL:VERSION` and
+/// `ADAPTER@MODEL`.
 fn loaded(fleet: &Fleet) -> Vec<String> {
     let report = fleet.engine.models();
     let names = |list: &str, text: fn(&Value) -> String| -> Vec<String> {
@@ -67,18 +74,18 @@
     all
 }
 
-// Guards against models that an operator names and no engine loads, against calls that
-// reach an engine before the load has ended, and against orders without the revision of
-// the record.
+// Guards against a model that an operator adds to an endpoint and the engine never loads,
+// against calls that reach the engine before the load is complete, and against orders whose
+// fencing number is not the revision of the endpoint record.
 #[test]
 fn engine_loads_and_unloads_what_the_operator_names() {
-    let fleet = fleet(true);
+    let fleet = start_fleet(true);
     let caller = Caller::new(ALPHA_KEY);
     let options = ["--model", "test-model", "--model", "second-model"];
     let adapter = ["--adapter", "tuned=second-model"];
-    let added = change(&fleet, &[&options[..], &adapter].concat());
+    let added = change_endpoint(&fleet, &[&options[..], &adapter].concat());
     for (index, model) in ["second-model", "tuned", "test-model"].iter().enumerate() {
-        let answer = call(&caller, fleet.callers(index % 2), model);
+        let answer = chat_with_model(&caller, fleet.callers(index % 2), model);
         assert_eq!(answer.status, 200, "{model}: {answer:?}");
     }
     let all = ["test-model:any", "second-model:any", "tuned@second-model"];
@@ -87,30 +94,34 @@
     assert!(!orders.is_empty());
     let is_fenced = orders.iter().all(|(fencing, _)| *fencing == added);
     assert!(is_fenced, "{added}: {orders:?}");
-    let removed = change(&fleet, &["--model", "test-model"]);
+    let removed = change_endpoint(&fleet, &["--model", "test-model"]);
     wait_until("the second model is unloaded", || {
         loaded(&fleet) == ["test-model:any"]
     });
     assert_eq!(fleet.engine.models()["fencing"], removed);
-    assert_eq!(call(&caller, fleet.callers(0), "second-model").status, 404);
+    assert_eq!(
+        chat_with_model(&caller, fleet.callers(0), "second-model").status,
+        404
+    );
 }
 
-// Guards against an order of an older record that reaches an engine late, after the orders
-// of the newer one, and stays in force because the engine ignores the fencing number.
+// Guards against a delayed order that overrides newer ones for good: it belongs to an older
+// revision of the endpoint record, reaches the engine after the orders of the newer revision,
+// and the engine ignores fencing numbers.
 #[test]
 fn late_order_of_an_older_record_does_not_stay_in_force() {
-    let fleet = fleet(false);
+    let fleet = start_fleet(false);
     fleet.engine.faults().set(Faults {
         lose_requests: 1,
         late_ms: 3_000,
         lose_path: "/orders".to_string(),
         ..Faults::default()
     });
-    let older = change(&fleet, &["--model-version", "test-model=1"]);
+    let older = change_endpoint(&fleet, &["--model-version", "test-model=1"]);
     wait_until("the first order is lost", || {
         fleet.engine.faults().get().lose_requests == 0
     });
-    let newer = change(&fleet, &["--model-version", "test-model=2"]);
+    let newer = change_endpoint(&fleet, &["--model-version", "test-model=2"]);
     wait_until("the lost order arrives", || {
         let orders = fleet.engine.orders();
         orders.iter().any(|(fencing, _)| *fencing == older)
@@ -120,11 +131,11 @@
     });
 }
 
-// Guards against calls that fail while an engine changes the version of their model.
+// Guards against calls that fail while an engine replaces the version of their model.
 #[test_case(true; "fencing is checked")]
 #[test_case(false; "fencing is ignored")]
 fn version_changes_without_a_failed_call(checks_fencing: bool) {
-    let fleet = fleet(checks_fencing);
+    let fleet = start_fleet(checks_fencing);
     let caller = Caller::new(ALPHA_KEY);
     let done = AtomicBool::new(false);
     thread::scope(|scope| {
@@ -134,7 +145,8 @@
                 scope.spawn(move || {
                     let mut statuses = Vec::new();
                     while !done.load(Ordering::SeqCst) {
-                        let answer = call(caller, fleet.callers(index), "test-model");
+                        let answer =
+                            chat_with_model(caller, fleet.callers(index), "test-model");
                         statuses.push(answer.status);
                     }
                     statuses
@@ -143,7 +155,7 @@
             .collect();
         for version in ["1", "2"] {
             let option = format!("test-model={version}");
-            change(&fleet, &["--model-version", &option]);
+            change_endpoint(&fleet, &["--model-version", &option]);
             let only = [format!("test-model:{version}")];
             wait_until("only the new version is loaded", || loaded(&fleet) == only);
         }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,11 +1,11 @@
-//! Operators change the configuration while the fleet runs.
+//! Configuration changes by operators while the fleet runs.
 
 use crate::util::caller::Caller;
 use crate::util::fleet::{ALPHA_KEY, Fleet};
 use crate::util::operator::operate;
 
-// Guards against profiles that cannot be created, changed or retired under traffic, and
-// against changes that are reported before they are in force everywhere (G14).
+// Guards against profiles that cannot be created, changed or retired while the fleet runs,
+// and against commands that succeed before the change is applied at every instance (G14).
 #[test]
 fn profile_is_in_force_everywhere_when_the_command_returns() {
     let fleet = Fleet::start(2);
@@ -46,7 +46,7 @@
     assert_eq!(night.unwrap()["record"]["retired"], true);
 }
 
-// Guards against two operators' changes of one version both being accepted (G14).
+// Guards against two changes of the same version of a record both being accepted (G14).
 #[test]
 fn second_of_two_racing_changes_is_not_accepted() {
     let fleet = Fleet::start(1);
@@ -64,21 +64,21 @@
     assert_eq!(listed[0]["record"]["budget_tokens"], 1_000);
 }
 
-// Guards against new work at an endpoint that an operator drains (G12).
+// Guards against calls that are sent to an endpoint while an operator drains it (G12).
 #[test]
 fn drained_endpoint_gets_no_new_work() {
     let fleet = Fleet::start(1);
     let caller = Caller::new(ALPHA_KEY);
     assert_eq!(
         caller
-            .order(fleet.callers(0), &[], "before")
+            .send_order(fleet.callers(0), &[], "before")
             .unwrap()
             .status,
         200
     );
     let drained = operate(fleet.admin(0), &["endpoint", "drain", "orders-0"]);
     assert_eq!(drained.code, 0, "{drained:?}");
-    let answer = caller.order(fleet.callers(0), &[], "after").unwrap();
+    let answer = caller.send_order(fleet.callers(0), &[], "after").unwrap();
     assert_eq!(
         (answer.status, answer.ran().as_str()),
         (503, "no"),
@@ -87,12 +87,12 @@
     assert!(!format!("{:?}", fleet.service.runs()).contains("after"));
     let activated = operate(fleet.admin(0), &["endpoint", "activate", "orders-0"]);
     assert_eq!(activated.code, 0, "{activated:?}");
-    let answer = caller.order(fleet.callers(0), &[], "again").unwrap();
+    let answer = caller.send_order(fleet.callers(0), &[], "again").unwrap();
     assert_eq!(answer.status, 200, "{answer:?}");
 }
 
-// Guards against a removal of an endpoint that another operator has changed since, and
-// against a removed endpoint that gets work again (G12, G14).
+// Guards against the removal of an endpoint that another operator has changed in the
+// meantime, and against a removed endpoint that can be activated again (G12, G14).
 #[test]
 fn endpoint_is_removed_only_in_the_named_version_and_for_good() {
     let fleet = Fleet::start(1);
@@ -114,7 +114,7 @@
     assert_ne!(back.code, 0, "{back:?}");
 }
 
-// Guards against operator commands that work without the operators' key.
+// Guards against an administration API that accepts a customer's key.
 #[test]
 fn operators_need_their_own_key() {
     let fleet = Fleet::start(1);
--- a/tests/outage.rs
+++ b/tests/outage.rs
@@ -1,4 +1,4 @@
-//! The store is down, slow or loses answers.
+//! Outages of the store: it refuses connections, does not respond or loses responses.
 
 use std::net::{SocketAddr, TcpListener};
 use std::time::Instant;
@@ -20,12 +20,12 @@
 use crate::util::relay::Mode;
 use crate::util::wait_until;
 
-// Guards against instances that need the store for a request.
+// Guards against instances that need the store to serve a request.
 #[test]
 fn fleet_serves_without_the_store() {
     let fleet = Fleet::start(2);
     fleet.wait_connected();
-    fleet.wait_shares();
+    fleet.wait_home_shares();
     for member in &fleet.members {
         member.store_relay.set(Mode::Cut);
     }
@@ -38,14 +38,15 @@
             .unwrap();
         assert_eq!(answer.status, 200, "{answer:?}");
         let order = caller
-            .order(fleet.callers(index), &headers, "order")
+            .send_order(fleet.callers(index), &headers, "order")
             .unwrap();
         assert_eq!(order.status, 200, "{order:?}");
     }
 }
 
-// Guards against instances that are ready before anybody has a share of the rates: with the
-// store cut then, no instance got any rate until the store was back.
+// Guards against instances that report that they are ready before any instance has a share of
+// the customers' rates. If the store was cut off at that time, no instance got any rate until
+// the store was back.
 #[test]
 fn ready_fleet_serves_when_the_store_is_cut_at_once() {
     let fleet = Fleet::start(2);
@@ -61,10 +62,10 @@
     }
 }
 
-// Guards against a change that is reported as failed although the store made it, when
-// only the answer was lost (G14).
+// Guards against a change that is reported as failed although the store applied it, when only
+// the store's response was lost (G14).
 #[test]
-fn lost_answer_does_not_hide_an_accepted_change() {
+fn lost_response_does_not_hide_an_accepted_change() {
     let fleet = Fleet::start(1);
     fleet.gateway.faults().set(Faults {
         lose_answers: 1,
@@ -83,16 +84,16 @@
     assert!(outcome.code == 0 || outcome.code == 3, "{outcome:?}");
 }
 
-// Guards against an instance that cannot start during an outage although a peer has the
-// configuration.
+// Guards against an instance that is cut off from the store and does not get a newer
+// configuration although a peer has it.
 #[test]
-fn change_made_during_a_cut_arrives_afterwards() {
+fn instance_cut_off_from_the_store_gets_a_change_from_its_peer() {
     let fleet = Fleet::start(2);
     fleet.wait_connected();
     fleet.members[1].store_relay.set(Mode::Cut);
     let created = operate(fleet.admin(0), &["profile", "create", "fresh"]);
     assert!(created.code == 0 || created.code == 3, "{created:?}");
-    // The peer tells of the newer revision and passes it on.
+    // The peer's heartbeat states the newer revision, and the instance requests a snapshot.
     let caller = Caller::new(ALPHA_KEY);
     wait_until("the change arrives through the peer", || {
         let headers = [("Jayreel-Profile", "fresh")];
@@ -103,90 +104,93 @@
 }
 
 /// Waits until an instance refuses the key of `beta`.
-fn wait_withdrawn(fleet: &Fleet, index: usize) {
+fn wait_key_refused(fleet: &Fleet, index: usize) {
     wait_until("the key is refused", || {
         let answer = Caller::new(BETA_KEY).chat(fleet.callers(index), &[], "hello");
         answer.is_some_and(|answer| answer.status == 401 && answer.ran() == "no")
     });
 }
 
-/// Waits until the instance `from` forwards calls of a program that `to` opened.
+/// Waits until the instance `from` forwards calls of a program that was opened at `to`.
 fn wait_forwards(fleet: &Fleet, from: usize, to: usize) {
     let caller = Caller::new(ALPHA_KEY);
     let token = caller.open(fleet.callers(to), &[]);
     let program = [("Jayreel-Program", token.as_str())];
     wait_until("the other instance forwards", || {
-        let answer = caller.order(fleet.callers(from), &program, "order");
+        let answer = caller.send_order(fleet.callers(from), &program, "order");
         answer.is_some_and(|answer| answer.status == 200)
     });
 }
 
-/// Starts the instance with this index in an outage. Prints how long it takes to become
-/// ready and to serve the first call.
-fn serve_from_nothing(fleet: &mut Fleet, index: usize, store: Mode) {
+/// Starts an instance that has no state while the store is down. Prints how long it takes to
+/// become ready and to serve the first call.
+fn start_and_serve(fleet: &mut Fleet, index: usize, store: Mode) {
     let started = Instant::now();
-    fleet.join(index, store, &[]);
-    let newcomer = fleet.members.last().unwrap();
-    newcomer.instance.wait_ready();
+    fleet.start_late_member(index, store, &[]);
+    let started_member = fleet.members.last().unwrap();
+    started_member.instance.wait_ready();
     let ready_ms = started.elapsed().as_millis();
-    let to = newcomer.instance.callers;
+    let to = started_member.instance.callers;
     let answer = Caller::new(ALPHA_KEY).chat(to, &[], "hello").unwrap();
     let served_ms = started.elapsed().as_millis();
     println!("from nothing: ready_ms={ready_ms} first_call_answered_ms={served_ms}");
     assert_eq!(answer.status, 200, "{answer:?}");
-    let status = operate(newcomer.instance.admin, &["status"]).json;
+    let status = operate(started_member.instance.admin, &["status"]).json;
     assert_eq!(status["home_in_force_ppm"], 0, "{status}");
 }
 
-// Guards against an outage of the store that shrinks the fleet, because an instance that
-// starts meanwhile knows neither peers nor configuration.
+// Guards against instances that cannot start while the store is down because they know
+// neither peers nor configuration, so that the fleet only shrinks in an outage.
 #[test_case(Mode::Cut; "refusing")]
 #[test_case(Mode::Freeze; "silent")]
 fn instance_starts_from_its_seeds_while_the_store_is(down: Mode) {
     let mut fleet = Fleet::start(2);
     fleet.wait_connected();
-    fleet.wait_shares();
-    fleet.set_store(down);
+    fleet.wait_home_shares();
+    fleet.set_store_mode(down);
     let hash = KeyHash::of_key(BETA_KEY).to_string();
     operate(fleet.admin(0), &["key", "withdraw", &hash]);
-    wait_withdrawn(&fleet, 0);
-    serve_from_nothing(&mut fleet, 2, down);
-    wait_withdrawn(&fleet, 2);
-    // The second instance is not a seed: the first one tells of it.
+    wait_key_refused(&fleet, 0);
+    start_and_serve(&mut fleet, 2, down);
+    wait_key_refused(&fleet, 2);
+    // The second instance is not a seed: its address comes from the first one.
     fleet.wait_connected();
     let caller = Caller::new(ALPHA_KEY);
     let token = caller.open(fleet.callers(2), &[]);
     let program = [("Jayreel-Program", token.as_str())];
     for index in [1, 2] {
-        let order = caller.order(fleet.callers(index), &program, "order");
+        let order = caller.send_order(fleet.callers(index), &program, "order");
         assert_eq!(order.unwrap().status, 200);
     }
-    // Which instance is responsible depends on the registrations.
+    // Refused, because the instance responsible for a key without a program is determined by
+    // the registrations, which cannot be read.
     let keyed = [("Idempotency-Key", "one")];
-    let refused = caller.order(fleet.callers(2), &keyed, "order").unwrap();
+    let refused = caller
+        .send_order(fleet.callers(2), &keyed, "order")
+        .unwrap();
     assert_eq!((refused.status, refused.ran().as_str()), (503, "no"));
 
     fleet.put("profiles/fresh", &json!({ "budget_tokens": 1_000 }));
     let newest = fleet.store.newest_revision("config/").unwrap();
-    fleet.set_store(Mode::Pass);
-    wait_until("the newcomer is registered", || {
+    fleet.set_store_mode(Mode::Pass);
+    wait_until("the new instance is registered", || {
         fleet.store.get("instances/entry-2").unwrap().is_some()
     });
-    wait_until("the newcomer has the newest configuration", || {
+    wait_until("the new instance has the newest configuration", || {
         let status = operate(fleet.admin(2), &["status"]).json;
         status["config_revision"].as_u64() >= Some(newest)
     });
-    wait_withdrawn(&fleet, 2);
-    fleet.wait_shares();
+    wait_key_refused(&fleet, 2);
+    fleet.wait_home_shares();
     fleet.wait_connected();
 }
 
-// Guards against an instance without a home share that gets no loan for a customer with a
-// small rate, or that answers something else than 429 until one arrives.
+// Guards against an instance without a home share that gets no loan of a customer's small
+// rate, or that refuses calls with another status than 429 until it gets one.
 #[test]
 fn calls_are_refused_only_until_the_first_loan() {
     let mut fleet = Fleet::start(2);
-    fleet.put_customer("alpha", 10_000, 10_000);
+    fleet.put_customer_rate("alpha", 10_000, 10_000);
     let newest = fleet.store.newest_revision("config/").unwrap();
     for index in 0..2 {
         wait_until("the rate is in force", || {
@@ -195,9 +199,9 @@
         });
     }
     fleet.wait_connected();
-    fleet.wait_shares();
-    fleet.set_store(Mode::Cut);
-    fleet.join(2, Mode::Cut, &[("quota", "wait_ms", "0")]);
+    fleet.wait_home_shares();
+    fleet.set_store_mode(Mode::Cut);
+    fleet.start_late_member(2, Mode::Cut, &[("quota", "wait_ms", "0")]);
     fleet.members[2].instance.wait_ready();
     let ready = Instant::now();
     let mut refused = 0;
@@ -215,30 +219,30 @@
     println!("first loan: refused={refused} served_after_ready_ms={loan_ms}");
 }
 
-// Guards against the replacement of a dead instance that the others ignore, because they
-// cannot read that the registration of its predecessor has ended.
+// Guards against a replacement of a dead instance that the others ignore because they cannot
+// read that the registration of its predecessor has ended.
 #[test]
 fn dead_instance_is_replaced_at_another_address_while_the_store_is_down() {
     let mut fleet = Fleet::start(2);
     fleet.wait_connected();
-    fleet.wait_shares();
-    fleet.set_store(Mode::Cut);
+    fleet.wait_home_shares();
+    fleet.set_store_mode(Mode::Cut);
     fleet.kill(1);
-    serve_from_nothing(&mut fleet, 1, Mode::Cut);
+    start_and_serve(&mut fleet, 1, Mode::Cut);
     wait_forwards(&fleet, 0, 1);
 }
 
-// Guards against a restart at the old address that is taken for a late message of the
-// process before it.
+// Guards against messages of an instance that was restarted at its old address being mistaken
+// for late messages of the process before it.
 #[test]
 fn dead_instance_is_replaced_at_its_address_while_the_store_is_down() {
     let mut fleet = Fleet::start(2);
     fleet.wait_connected();
-    fleet.wait_shares();
-    fleet.set_store(Mode::Cut);
+    fleet.wait_home_shares();
+    fleet.set_store_mode(Mode::Cut);
     let seed = fleet.members[0].peer_relay.address().to_string();
     let options = &mut fleet.members[1].instance.options;
-    options.more.push(("peers".into(), "seeds".into(), seed));
+    options.extra.push(("peers".into(), "seeds".into(), seed));
     let started = Instant::now();
     fleet.restart(1);
     println!("restart: ready_ms={}", started.elapsed().as_millis());
@@ -247,18 +251,18 @@
     wait_forwards(&fleet, 0, 1);
 }
 
-// Guards against withdrawn keys that are accepted without end because each new instance
-// counts offline_grace_s from its own start (G7).
+// Guards against withdrawn keys that are accepted indefinitely because each new instance
+// counts `offline_grace_s` from its own start (G7).
 #[test]
 fn instance_that_starts_after_the_grace_refuses_keys() {
     let mut fleet = Fleet::start(1);
-    fleet.wait_shares();
-    fleet.set_store(Mode::Cut);
+    fleet.wait_home_shares();
+    fleet.set_store_mode(Mode::Cut);
     wait_until("the store has been out of reach for 4 s", || {
         let status = operate(fleet.admin(0), &["status"]).json;
         status["store_contact_age_ms"].as_u64() >= Some(4_000)
     });
-    fleet.join(1, Mode::Cut, &[("platform", "offline_grace_s", "4")]);
+    fleet.start_late_member(1, Mode::Cut, &[("platform", "offline_grace_s", "4")]);
     fleet.members[1].instance.wait_ready();
     let answer = Caller::new(ALPHA_KEY).chat(fleet.callers(1), &[], "hello");
     let answer = answer.unwrap();
@@ -268,28 +272,29 @@
     assert_eq!(served.unwrap().status, 200);
 }
 
-/// Whether an instance has the other one of its fleet in its list of peers.
-fn knows_a_peer(fleet: &Fleet, index: usize) -> bool {
+/// Whether the status of an instance lists any peer.
+fn has_peer(fleet: &Fleet, index: usize) -> bool {
     let status = operate(fleet.admin(index), &["status"]).json;
     status["peers"]
         .as_array()
         .is_some_and(|peers| !peers.is_empty())
 }
 
-// Guards against an instance that started in an outage and stays alone after a partition,
-// because both sides have forgotten a process that is dead and not registered.
+// Guards against an instance that started while the store was down and does not rejoin after
+// a partition, because each side has discarded the address of the other: it counts as dead
+// and is not registered.
 #[test]
 fn unregistered_instance_returns_after_a_partition() {
     let mut fleet = Fleet::start(1);
-    fleet.wait_shares();
-    fleet.set_store(Mode::Cut);
-    fleet.join(1, Mode::Cut, &[]);
+    fleet.wait_home_shares();
+    fleet.set_store_mode(Mode::Cut);
+    fleet.start_late_member(1, Mode::Cut, &[]);
     fleet.wait_connected();
     for member in &fleet.members {
         member.peer_relay.set(Mode::Cut);
     }
-    wait_until("both have forgotten the other one", || {
-        !knows_a_peer(&fleet, 0) && !knows_a_peer(&fleet, 1)
+    wait_until("neither instance lists the other", || {
+        !has_peer(&fleet, 0) && !has_peer(&fleet, 1)
     });
     for member in &fleet.members {
         member.peer_relay.set(Mode::Pass);
@@ -297,13 +302,13 @@
     fleet.wait_connected();
 }
 
-/// A peer that the test plays.
+/// A peer whose messages the test sends.
 struct FakePeer {
     network: TcpPeerNetwork,
 }
 
 impl FakePeer {
-    /// Knows the fleet's secret and the address of one instance.
+    /// Starts a peer that has the fleet secret and can send to one instance.
     fn start(instance: &str, address: SocketAddr) -> FakePeer {
         let secret = blake3::hash(FLEET_SECRET.as_bytes()).to_string();
         let config = PeerConfig {
@@ -330,13 +335,13 @@
     }
 }
 
-// Guards against a peer with an old copy that takes an instance back behind a revision it
-// has applied (G14), and against losing the withdrawals that the copy holds (G7).
+// Guards against a snapshot of an older configuration that replaces a newer one (G14), and
+// against ignoring the withdrawn keys that such a snapshot contains (G7).
 #[test]
 fn older_snapshot_is_not_applied_but_its_withdrawals_are() {
     let fleet = Fleet::start(1);
-    fleet.wait_shares();
-    fleet.set_store(Mode::Cut);
+    fleet.wait_home_shares();
+    fleet.set_store_mode(Mode::Cut);
     let revision =
         || operate(fleet.admin(0), &["status"]).json["config_revision"].as_u64();
     let before = revision().unwrap();
@@ -344,7 +349,8 @@
         customer: "beta".to_string(),
         withdrawn: true,
     };
-    // It lacks the customers, endpoints and the other key.
+    // Contains neither the customers and endpoints nor the other key, so that calls would fail
+    // if it were applied.
     let older = Configuration {
         revision: before - 1,
         keys: [(KeyHash::of_key(BETA_KEY), withdrawn)].into(),
@@ -352,7 +358,7 @@
     };
     let peer = FakePeer::start("entry-0", fleet.members[0].instance.peers);
     peer.send_snapshot("entry-0", &older);
-    wait_withdrawn(&fleet, 0);
+    wait_key_refused(&fleet, 0);
     assert_eq!(revision(), Some(before));
     let answer = Caller::new(ALPHA_KEY).chat(fleet.callers(0), &[], "hello");
     assert_eq!(answer.unwrap().status, 200);
--- a/tests/owners.rs
+++ b/tests/owners.rs
@@ -1,4 +1,4 @@
-//! Programs and their owners under faults of instances, connections and the store.
+//! Program ownership under faults of instances, connections and the store.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,13 +6,13 @@
 
 use jayreel_standin::{EngineSettings, PlainService};
 
-use crate::util::caller::{Answer, Caller};
+use crate::util::caller::{Caller, Response};
 use crate::util::fleet::{ALPHA_KEY, Fleet};
 use crate::util::relay::Mode;
-use crate::util::{count, wait_until};
+use crate::util::{run_count, wait_until};
 
-// Guards against instances that keep using a connection to a peer that is open and
-// silent, so that forwards fail until a restart.
+// Guards against instances that keep using a peer connection that is open but passes no
+// traffic, so that forwarded calls fail until a restart.
 #[test]
 fn forwards_recover_from_a_silent_peer_connection() {
     let fleet = Fleet::start(2);
@@ -36,35 +36,44 @@
     }
 }
 
-/// Answers to non-repeatable calls of one test, by their tags.
+/// Responses to the non-repeatable calls of one test, by their tags. `None` stands for a
+/// connection that failed before a response.
 #[derive(Default)]
-struct Attempts {
-    answers: BTreeMap<String, Vec<Option<Answer>>>,
+struct CallLog {
+    responses: BTreeMap<String, Vec<Option<Response>>>,
 }
 
-impl Attempts {
-    fn add(&mut self, tag: &str, answer: Option<Answer>) {
-        self.answers
+impl CallLog {
+    fn add(&mut self, tag: &str, answer: Option<Response>) {
+        self.responses
             .entry(tag.to_string())
             .or_default()
             .push(answer);
     }
 
-    /// Sends a non-repeatable call of a program whose tag is its idempotency key.
-    fn order(&mut self, to: SocketAddr, program: &str, epoch: Option<&str>, tag: &str) {
+    /// Sends a non-repeatable call of a program and records the response. `tag` is also the
+    /// idempotency key.
+    fn send_order(
+        &mut self,
+        to: SocketAddr,
+        program: &str,
+        epoch: Option<&str>,
+        tag: &str,
+    ) {
         self.add(tag, order(to, program, epoch, tag));
     }
 
-    /// Checks all answers against what ran.
+    /// Checks the responses against the number of runs at the endpoint: no call ran twice, and
+    /// no response claims a run or a non-run that is not true.
     fn check(&self, service: &PlainService) {
-        for (tag, answers) in &self.answers {
-            let runs = count(service, tag);
+        for (tag, answers) in &self.responses {
+            let runs = run_count(service, tag);
             let served = answers
                 .iter()
                 .flatten()
                 .filter(|answer| answer.status == 200)
                 .count();
-            let ran_no = |answer: &Option<Answer>| {
+            let ran_no = |answer: &Option<Response>| {
                 answer.as_ref().is_some_and(|answer| answer.ran() == "no")
             };
             assert!(runs <= 1, "{tag} ran {runs} times: {answers:?}");
@@ -83,16 +92,16 @@
     program: &str,
     epoch: Option<&str>,
     tag: &str,
-) -> Option<Answer> {
+) -> Option<Response> {
     let mut headers = vec![("Jayreel-Program", program), ("Idempotency-Key", tag)];
     headers.extend(epoch.map(|epoch| ("Jayreel-Epoch", epoch)));
-    Caller::new(ALPHA_KEY).order(to, &headers, tag)
+    Caller::new(ALPHA_KEY).send_order(to, &headers, tag)
 }
 
-/// Waits until a program goes on at an instance, and returns its epoch.
-fn wait_goes_on(to: SocketAddr, program: &str) -> String {
+/// Waits until an instance serves a call of the program, and returns the program's epoch.
+fn wait_until_continued(to: SocketAddr, program: &str) -> String {
     let mut epoch = None;
-    wait_until("the program goes on", || {
+    wait_until("the program is continued", || {
         let headers = [("Jayreel-Program", program)];
         let answer = Caller::new(ALPHA_KEY).chat(to, &headers, "go on");
         epoch = answer
@@ -103,10 +112,10 @@
     epoch.unwrap()
 }
 
-/// Numbers from a fixed seed (the constants are those of Knuth's MMIX generator).
-struct Choices(u64);
+/// Pseudorandom numbers from a fixed seed (the constants are those of Knuth's MMIX generator).
+struct SeededRng(u64);
 
-impl Choices {
+impl SeededRng {
     fn below(&mut self, limit: usize) -> usize {
         let next = self.0.wrapping_mul(6_364_136_223_846_793_005);
         self.0 = next.wrapping_add(1_442_695_040_888_963_407);
@@ -114,10 +123,11 @@
     }
 }
 
-/// A fleet of three with programs at seeded owners, some calls served.
-fn fleet_with_programs(
-    choices: &mut Choices,
-    attempts: &mut Attempts,
+/// Starts a fleet of three with six programs, two for each owner. One call of each program,
+/// with a tag that begins with `before`, is served through a random instance.
+fn start_fleet_with_programs(
+    rng: &mut SeededRng,
+    calls: &mut CallLog,
 ) -> (Fleet, Vec<String>) {
     let fleet = Fleet::with_settings(
         3,
@@ -125,45 +135,54 @@
         &[("platform", "registration_ttl_s", "2")],
     );
     fleet.wait_connected();
-    fleet.wait_shares();
+    fleet.wait_home_shares();
     let caller = Caller::new(ALPHA_KEY);
     let mut programs = Vec::new();
     for number in 0..6 {
         let owner = number % 3;
         let token = caller.open(fleet.callers(owner), &[]);
-        let to = fleet.callers(choices.below(3));
+        let to = fleet.callers(rng.below(3));
         let tag = format!("before-{number}");
-        attempts.order(to, &token, None, &tag);
+        calls.send_order(to, &token, None, &tag);
         assert_eq!(
-            count(&fleet.service, &tag),
+            run_count(&fleet.service, &tag),
             1,
             "{:?}",
-            attempts.answers[&tag]
+            calls.responses[&tag]
         );
         programs.push(token);
     }
     (fleet, programs)
 }
 
-/// Sends each program a new call and the repeat of an earlier one through `to`.
-fn order_all(attempts: &mut Attempts, to: &[SocketAddr], programs: &[String], at: &str) {
+/// Sends two calls for each program, spread over the instances `to`: a new one, whose tag
+/// begins with `prefix`, and a repeat of the one sent before the fault.
+fn call_all_programs(
+    calls: &mut CallLog,
+    to: &[SocketAddr],
+    programs: &[String],
+    prefix: &str,
+) {
     for (number, program) in programs.iter().enumerate() {
         let to = to[number % to.len()];
-        attempts.order(to, program, None, &format!("{at}-{number}"));
-        attempts.order(to, program, None, &format!("before-{number}"));
+        calls.send_order(to, program, None, &format!("{prefix}-{number}"));
+        calls.send_order(to, program, None, &format!("before-{number}"));
     }
 }
 
-/// Waits until all programs go on everywhere, and repeats all calls so far.
-fn go_on_and_repeat(attempts: &mut Attempts, all: &[SocketAddr], programs: &[String]) {
+/// Waits until all programs are continued at all instances, and repeats the earlier calls.
+fn continue_and_repeat(calls: &mut CallLog, all: &[SocketAddr], programs: &[String]) {
     for (number, program) in programs.iter().enumerate() {
-        let epochs: Vec<_> = all.iter().map(|to| wait_goes_on(*to, program)).collect();
+        let epochs: Vec<_> = all
+            .iter()
+            .map(|to| wait_until_continued(*to, program))
+            .collect();
         let epoch = epochs.last().unwrap();
         let tag = format!("after-{number}");
         let to = all[number % all.len()];
         wait_until("a new non-repeatable call is served", || {
-            attempts.order(to, program, Some(epoch), &tag);
-            let answers = &attempts.answers[&tag];
+            calls.send_order(to, program, Some(epoch), &tag);
+            let answers = &calls.responses[&tag];
             let last = answers.last().unwrap().as_ref().unwrap();
             assert!(last.status == 200 || last.ran() == "no", "{last:?}");
             last.status == 200
@@ -171,25 +190,25 @@
         for earlier in ["before", "during"] {
             let tag = format!("{earlier}-{number}");
             for to in all {
-                attempts.order(*to, program, None, &tag);
+                calls.send_order(*to, program, None, &tag);
             }
         }
     }
 }
 
-// Guards against programs that are lost, calls that run twice and a false `no` when an
-// owner dies while no instance reaches the store (G10, G11).
+// Guards against lost programs, calls that run twice, and calls that are reported as not run
+// although they ran, when an owner dies while no instance can reach the store (G10, G11).
 #[test]
 fn owner_dies_while_the_store_is_cut_off() {
     let seed = 41;
     println!("seed {seed}");
-    let mut choices = Choices(seed);
-    let mut attempts = Attempts::default();
-    let (mut fleet, programs) = fleet_with_programs(&mut choices, &mut attempts);
+    let mut rng = SeededRng(seed);
+    let mut calls = CallLog::default();
+    let (mut fleet, programs) = start_fleet_with_programs(&mut rng, &mut calls);
     for member in &fleet.members {
         member.store_relay.set(Mode::Cut);
     }
-    let killed = choices.below(3);
+    let killed = rng.below(3);
     let to = fleet.callers(killed);
     let late: Vec<_> = programs
         .iter()
@@ -202,28 +221,29 @@
     fleet.kill(killed);
     for thread in late {
         let (answer, tag) = thread.join().unwrap();
-        attempts.add(&tag, answer);
+        calls.add(&tag, answer);
     }
     let to = [0, 1].map(|index| fleet.callers(index));
-    order_all(&mut attempts, &to, &programs, "once");
-    order_all(&mut attempts, &to, &programs, "during");
+    call_all_programs(&mut calls, &to, &programs, "once");
+    call_all_programs(&mut calls, &to, &programs, "during");
     for member in &fleet.members {
         member.store_relay.set(Mode::Pass);
     }
-    go_on_and_repeat(&mut attempts, &to, &programs);
-    attempts.check(&fleet.service);
+    continue_and_repeat(&mut calls, &to, &programs);
+    calls.check(&fleet.service);
 }
 
-// Guards against calls that run twice, in a paused owner and in its successor, and a false
-// `no`, when the others lose the store during the pause (G10, G11).
+// Guards against calls that run twice, in a suspended owner and in its successor, and calls
+// that are reported as not run although they ran, when the other instances lose the store
+// while the owner is suspended (G10, G11).
 #[test]
 fn owner_is_paused_while_the_store_is_cut_off() {
     let seed = 43;
     println!("seed {seed}");
-    let mut choices = Choices(seed);
-    let mut attempts = Attempts::default();
-    let (mut fleet, programs) = fleet_with_programs(&mut choices, &mut attempts);
-    let paused = choices.below(3);
+    let mut rng = SeededRng(seed);
+    let mut calls = CallLog::default();
+    let (mut fleet, programs) = start_fleet_with_programs(&mut rng, &mut calls);
+    let paused = rng.below(3);
     let owner = &fleet.members[paused].instance;
     owner.pause();
     for member in &fleet.members {
@@ -242,28 +262,28 @@
         .filter(|index| *index != paused)
         .map(|index| fleet.callers(index))
         .collect();
-    order_all(&mut attempts, &others, &programs, "once");
-    order_all(&mut attempts, &others, &programs, "during");
+    call_all_programs(&mut calls, &others, &programs, "once");
+    call_all_programs(&mut calls, &others, &programs, "during");
     for member in &fleet.members {
         member.store_relay.set(Mode::Pass);
     }
     for program in &programs {
-        wait_goes_on(others[0], program);
+        wait_until_continued(others[0], program);
     }
-    // The successor must not run what the paused owner ran or will run.
-    order_all(&mut attempts, &others, &programs, "during");
-    order_all(&mut attempts, &others, &programs, "taken");
+    // The successor must not run what the suspended owner has run or will run.
+    call_all_programs(&mut calls, &others, &programs, "during");
+    call_all_programs(&mut calls, &others, &programs, "taken");
     fleet.members[paused].instance.resume();
     for thread in late {
         let (answer, tag) = thread.join().unwrap();
-        attempts.add(&tag, answer);
+        calls.add(&tag, answer);
     }
-    // A process whose programs were taken over ends, and is started again.
+    // A process whose programs were taken over ends, and must be restarted.
     wait_until("the paused owner ends", || {
         fleet.members[paused].instance.exited().is_some()
     });
     fleet.restart(paused);
     let all = [0, 1, 2].map(|index| fleet.callers(index));
-    go_on_and_repeat(&mut attempts, &all, &programs);
-    attempts.check(&fleet.service);
+    continue_and_repeat(&mut calls, &all, &programs);
+    calls.check(&fleet.service);
 }
--- a/tests/programs.rs
+++ b/tests/programs.rs
@@ -1,4 +1,4 @@
-//! Programs whose calls reach several instances, and whose owner dies.
+//! Programs whose calls arrive at several instances, and programs whose owner dies.
 
 use std::collections::BTreeSet;
 use std::thread;
@@ -10,7 +10,7 @@
 use crate::util::relay::Mode;
 use crate::util::wait_until;
 
-// Guards against calls that only work at the instance that opened their program.
+// Guards against calls that are served only by the instance that opened their program.
 #[test]
 fn call_at_another_instance_is_forwarded_to_the_owner() {
     let fleet = Fleet::start(2);
@@ -29,7 +29,7 @@
     );
 }
 
-// Guards against a histogram of program times that stays empty.
+// Guards against a program duration histogram that stays empty.
 #[test]
 fn time_of_a_closed_program_is_in_the_metrics() {
     let fleet = Fleet::start(1);
@@ -66,7 +66,8 @@
     }
 }
 
-// Guards against a repeat of a non-repeatable call that runs twice (G11).
+// Guards against a repeated idempotency key that makes a non-repeatable call run twice
+// (G11).
 #[test]
 fn repeat_of_an_idempotency_key_does_not_run_again() {
     let fleet = Fleet::start(2);
@@ -77,11 +78,13 @@
         ("Jayreel-Program", token.as_str()),
         ("Idempotency-Key", "file-1"),
     ];
-    let first = caller.order(fleet.callers(0), &headers, "claim-1").unwrap();
+    let first = caller
+        .send_order(fleet.callers(0), &headers, "claim-1")
+        .unwrap();
     assert_eq!(first.status, 200, "{first:?}");
     for index in 0..2 {
         let repeat = caller
-            .order(fleet.callers(index), &headers, "claim-1")
+            .send_order(fleet.callers(index), &headers, "claim-1")
             .unwrap();
         assert_eq!(
             (repeat.status, repeat.ran().as_str()),
@@ -92,7 +95,7 @@
     assert_eq!(fleet.service.runs().counts.get("claim-1"), Some(&1));
 }
 
-// Guards against programs that are lost with their owner, and against non-repeatable
+// Guards against programs that are lost when their owner dies, and against non-repeatable
 // calls that run again although the dead owner may have run them (G10, G11).
 #[test]
 fn program_survives_its_owner_and_repeats_are_unknown() {
@@ -102,15 +105,15 @@
         &[("platform", "registration_ttl_s", "2")],
     );
     fleet.wait_connected();
-    // Otherwise the whole rate may still be with the owner, and idle after its death.
-    fleet.wait_shares();
+    // Before that, the owner may hold the whole rate, which nobody could use after its death.
+    fleet.wait_home_shares();
     let caller = Caller::new(ALPHA_KEY);
     let token = caller.open(fleet.callers(0), &[]);
     let program = ("Jayreel-Program", token.as_str());
     let headers = [program, ("Idempotency-Key", "file-1")];
     assert_eq!(
         caller
-            .order(fleet.callers(0), &headers, "claim-1")
+            .send_order(fleet.callers(0), &headers, "claim-1")
             .unwrap()
             .status,
         200
@@ -120,13 +123,15 @@
     wait_until("the program has a new owner", || {
         answer = caller.chat(fleet.callers(0), &[program], "go on");
         let seen = answer.as_ref().unwrap();
-        // A forward that the kill caught under way may have run: `unknown` is true then.
+        // The kill may interrupt a forwarded call that has run, so `unknown` is allowed too.
         assert!([200, 503].contains(&seen.status), "{seen:?}");
         seen.status == 200
     });
     let answer = answer.unwrap();
     let epoch = answer.header("jayreel-epoch").unwrap().to_string();
-    let repeat = caller.order(fleet.callers(0), &headers, "claim-1").unwrap();
+    let repeat = caller
+        .send_order(fleet.callers(0), &headers, "claim-1")
+        .unwrap();
     assert_eq!(
         (repeat.status, repeat.ran().as_str()),
         (503, "unknown"),
@@ -137,12 +142,14 @@
         ("Idempotency-Key", "file-2"),
         ("Jayreel-Epoch", &epoch),
     ];
-    let fresh = caller.order(fleet.callers(0), &fresh, "claim-2").unwrap();
+    let fresh = caller
+        .send_order(fleet.callers(0), &fresh, "claim-2")
+        .unwrap();
     assert_eq!(fresh.status, 200, "{fresh:?}");
     assert_eq!(fleet.service.runs().counts.get("claim-1"), Some(&1));
 }
 
-// Guards against calls of one program that run side by side when they arrive at several
+// Guards against calls of one program that run concurrently when they arrive at several
 // instances (G1).
 #[test]
 fn calls_of_one_program_run_one_at_a_time() {
@@ -166,9 +173,9 @@
             })
         })
         .collect();
-    let mut most = 0;
+    let mut max_running = 0;
     while threads.iter().any(|thread| !thread.is_finished()) {
-        most = most.max(fleet.engine.load().0);
+        max_running = max_running.max(fleet.engine.load().0);
         thread::sleep(std::time::Duration::from_millis(1));
     }
     let turns: BTreeSet<String> = threads
@@ -180,10 +187,10 @@
         })
         .collect();
     assert_eq!(turns.len(), 6, "each call has a turn of its own");
-    assert_eq!(most, 1, "two calls ran at the same time");
+    assert_eq!(max_running, 1, "two calls ran at the same time");
 }
 
-// Guards against a program that goes on after its budget (G3).
+// Guards against a program that uses more tokens than its budget (G3).
 #[test]
 fn budget_is_never_exceeded() {
     let fleet = Fleet::start(1);
@@ -212,7 +219,7 @@
     assert!(used <= 60, "{used} tokens were used");
 }
 
-// Guards against cache that engines keep for programs that have ended (G4).
+// Guards against engines that keep the cache of programs that have ended (G4).
 #[test]
 fn engine_memory_is_released_when_a_program_closes() {
     let fleet = Fleet::start(1);
@@ -240,7 +247,8 @@
     });
 }
 
-// Guards against a history that was cut short or mixed up on its way (G2).
+// Guards against a conversation that was truncated or altered on its way to the server
+// (G2).
 #[test]
 fn messages_that_do_not_continue_the_history_are_refused() {
     let fleet = Fleet::start(1);
@@ -264,7 +272,7 @@
     );
 }
 
-// Guards against engine memory that stays held after the owner of its program died (G4).
+// Guards against an engine that keeps the cache of a program whose owner died (G4).
 #[test]
 fn engine_memory_of_a_dead_owner_is_released_by_the_caretaker() {
     let mut fleet = Fleet::with_settings(
@@ -290,8 +298,8 @@
     });
 }
 
-// Guards against a call with an idempotency key but no program that runs twice through
-// two instances, and against a fresh fleet that refuses all such calls (G11).
+// Guards against a call with an idempotency key but without a program that runs twice because
+// it is sent to two instances, and against a new fleet that refuses all such calls (G11).
 #[test]
 fn key_without_a_program_runs_once_across_instances() {
     let fleet = Fleet::start(3);
@@ -300,17 +308,19 @@
     let headers = [("Idempotency-Key", "order-1")];
     let mut answers = Vec::new();
     wait_until("the call runs", || {
-        let answer = caller.order(fleet.callers(1), &headers, "order-1").unwrap();
+        let answer = caller
+            .send_order(fleet.callers(1), &headers, "order-1")
+            .unwrap();
         let ran = answer.status == 200;
         assert!(ran || answer.ran() == "no", "{answer:?}");
         answers.push(answer);
         ran
     });
-    // An instance that has not read the registrations yet refuses truthfully.
+    // An instance that has not read the registrations yet refuses the call as not run.
     for index in 0..3 {
         wait_until("the repeat is recognised", || {
             let repeat = caller
-                .order(fleet.callers(index), &headers, "order-1")
+                .send_order(fleet.callers(index), &headers, "order-1")
                 .unwrap();
             assert_ne!(repeat.status, 200, "{repeat:?}");
             (repeat.status, repeat.ran().as_str()) == (409, "yes")
@@ -319,8 +329,8 @@
     assert_eq!(fleet.service.runs().counts.get("order-1"), Some(&1));
 }
 
-// Guards against a second run of a key whose first run only the killed founder of the fleet
-// knew (G11).
+// Guards against a second run of an idempotency key whose first run was known only to the
+// founder of the fleet (the first instance to start), which was killed (G11).
 #[test]
 fn key_without_a_program_is_unknown_after_the_founder_was_killed() {
     let mut fleet = Fleet::start(3);
@@ -329,7 +339,9 @@
     let headers = [("Idempotency-Key", "order-1")];
     let mut epoch = String::new();
     wait_until("the call runs", || {
-        let answer = caller.order(fleet.callers(1), &headers, "order-1").unwrap();
+        let answer = caller
+            .send_order(fleet.callers(1), &headers, "order-1")
+            .unwrap();
         epoch = answer.header("jayreel-epoch").unwrap_or("").to_string();
         answer.status == 200
     });
@@ -341,7 +353,9 @@
         let headers = [("Idempotency-Key", key)];
         for index in 0..2 {
             wait_until("the founder is missed", || {
-                let answer = caller.order(fleet.callers(index), &headers, key).unwrap();
+                let answer = caller
+                    .send_order(fleet.callers(index), &headers, key)
+                    .unwrap();
                 assert_ne!(answer.status, 200, "{answer:?}");
                 (answer.status, answer.ran().as_str()) == (503, "unknown")
             });
@@ -351,8 +365,8 @@
     assert_eq!(fleet.service.runs().counts.get("order-2"), None);
 }
 
-// Guards against a process that was cut off, has lost its programs to another one, and
-// refuses every new program from then on without being restarted.
+// Guards against a process whose programs were taken over while it was cut off, and that then
+// keeps running and refuses every new program instead of ending to be restarted.
 #[test]
 fn superseded_process_ends_and_can_be_started_again() {
     let mut fleet = Fleet::with_settings(
@@ -361,7 +375,7 @@
         &[("platform", "registration_ttl_s", "2")],
     );
     fleet.wait_connected();
-    fleet.wait_shares();
+    fleet.wait_home_shares();
     let caller = Caller::new(ALPHA_KEY);
     let token = caller.open(fleet.callers(0), &[]);
     let program = ("Jayreel-Program", token.as_str());
@@ -378,7 +392,7 @@
     fleet.members[0].store_relay.set(Mode::Cut);
     wait_until("the program has a new owner", || {
         let answer = caller.chat(fleet.callers(1), &[program], "go on").unwrap();
-        // A forward that the cut caught under way may have run: `unknown` is true then.
+        // The cut may interrupt a forwarded call that has run, so `unknown` is allowed too.
         assert!([200, 503].contains(&answer.status), "{answer:?}");
         answer.status == 200
     });
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops cut no request and lose no program.
+//! Planned stops, which must neither break a request nor lose a program.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,11 +10,11 @@
 use jayreel_standin::EngineSettings;
 
 use crate::util::caller::Caller;
-use crate::util::fleet::{ALPHA_KEY, Fleet, Member};
+use crate::util::fleet::{ALPHA_KEY, Fleet, FleetMember};
 use crate::util::process::Instance;
 use crate::util::wait_until;
 
-// Guards against a planned stop that cuts a request under way (G13).
+// Guards against a planned stop that breaks a running request (G13).
 #[test]
 fn planned_stop_completes_running_calls() {
     let engine = EngineSettings {
@@ -28,7 +28,7 @@
     wait_until("the call runs", || fleet.engine.load().0 == 1);
     let member = fleet.members.remove(0);
     member.instance.terminate();
-    wait_until("the balancer is told", || {
+    wait_until("the instance reports that it is not ready", || {
         member.instance.probe("/readyz") != Some(200)
     });
     let answer = running.join().unwrap();
@@ -37,8 +37,8 @@
     member.instance.wait_exit();
 }
 
-// Guards against requests that are cut while instances stop one after the other under
-// load, with callers that follow /readyz as the balancer does (G13).
+// Guards against requests that are broken when an instance stops under load. The callers stop
+// sending when /readyz fails, as a load balancer does (G13).
 #[test]
 fn rolling_stop_under_load_cuts_no_request() {
     let engine = EngineSettings {
@@ -47,7 +47,7 @@
     };
     let mut fleet = Fleet::with_settings(2, engine, &[]);
     fleet.wait_connected();
-    fleet.wait_shares();
+    fleet.wait_home_shares();
     let stop = Arc::new(AtomicBool::new(false));
     let to = fleet.callers(0);
     let callers: Vec<_> = (0..8)
@@ -70,8 +70,8 @@
     thread::sleep(Duration::from_millis(500));
     let member = fleet.members.remove(0);
     member.instance.terminate();
-    // The balancer stops sending once /readyz says so; the listener stays open longer.
-    wait_until("the balancer is told", || {
+    // A load balancer stops sending once /readyz fails; the listener stays open longer.
+    wait_until("the instance reports that it is not ready", || {
         member.instance.probe("/readyz") != Some(200)
     });
     stop.store(true, Ordering::SeqCst);
@@ -83,20 +83,20 @@
     member.instance.wait_exit();
 }
 
-// Guards against programs that become unknown because their owner was stopped as planned
+// Guards against programs and idempotency keys that are lost in a planned stop of their owner
 // (G11, G13).
 #[test]
 fn planned_stop_hands_programs_over() {
     let mut fleet = Fleet::start(2);
     fleet.wait_connected();
-    fleet.wait_shares();
+    fleet.wait_home_shares();
     let caller = Caller::new(ALPHA_KEY);
     let token = caller.open(fleet.callers(0), &[]);
     let program = ("Jayreel-Program", token.as_str());
     let headers = [program, ("Idempotency-Key", "file-1")];
     assert_eq!(
         caller
-            .order(fleet.callers(0), &headers, "claim-1")
+            .send_order(fleet.callers(0), &headers, "claim-1")
             .unwrap()
             .status,
         200
@@ -104,21 +104,26 @@
     let member = fleet.members.remove(0);
     member.instance.terminate();
     member.instance.wait_exit();
-    let repeat = caller.order(fleet.callers(0), &headers, "claim-1").unwrap();
+    let repeat = caller
+        .send_order(fleet.callers(0), &headers, "claim-1")
+        .unwrap();
     assert_eq!(
         (repeat.status, repeat.ran().as_str()),
         (409, "yes"),
         "{repeat:?}"
     );
     let next = [program, ("Idempotency-Key", "file-2")];
-    let next = caller.order(fleet.callers(0), &next, "claim-2").unwrap();
+    let next = caller
+        .send_order(fleet.callers(0), &next, "claim-2")
+        .unwrap();
     assert_eq!(next.status, 200, "{next:?}");
     assert_eq!(fleet.service.runs().counts.get("claim-1"), Some(&1));
 }
 
-// Guards against calls with an idempotency key and no program that are refused for the whole
-// window after the founder of the fleet was stopped as planned, and against a repeat that
-// runs again at a successor (G11, G13).
+// Guards against two faults after a planned stop of the founder of the fleet (the first
+// instance to start): calls with an idempotency key but without a program that are refused
+// for the whole window in which repeats are recognised, and repeats that run again at a
+// successor (G11, G13).
 #[test]
 fn founder_stopped_as_planned_hands_keys_over() {
     let mut fleet = Fleet::start(3);
@@ -132,14 +137,14 @@
     let member = fleet.members.remove(founder);
     member.instance.terminate();
     member.instance.wait_exit();
-    // The keys belong to both successors, and each is asked about all of them.
+    // The keys are divided between two successors. Each is sent repeats of all of them.
     for number in 0..7 {
         let order = format!("order-{number}");
         let headers = [("Idempotency-Key", order.as_str())];
         for index in 0..2 {
             wait_until("the repeat is recognised", || {
                 let repeat = caller
-                    .order(fleet.callers(index), &headers, &order)
+                    .send_order(fleet.callers(index), &headers, &order)
                     .unwrap();
                 assert_ne!(repeat.status, 200, "{repeat:?}");
                 (repeat.status, repeat.ran().as_str()) == (409, "yes")
@@ -154,8 +159,9 @@
     }
 }
 
-// Guards against a successor that passes on only its own keys, or that may not use what it
-// inherited, when it is stopped itself (G11, G13).
+// Guards against a successor that, in its own planned stop, hands over only its own
+// idempotency keys, and against a next successor that may not use the inherited ones (G11,
+// G13).
 #[test]
 fn two_planned_stops_pass_the_keys_of_both_on() {
     let mut fleet = Fleet::start(3);
@@ -167,18 +173,21 @@
         let member = fleet.members.remove(stopped);
         member.instance.terminate();
         member.instance.wait_exit();
-        // An instance that runs an order has seen that the stopped one is gone. One that
-        // never saw its predecessor responsible answers `unknown`, which is true.
-        let mut idle: BTreeSet<usize> = (0..fleet.members.len()).collect();
-        while !idle.is_empty() {
+        // An instance that runs an order has noticed that the stopped one is gone. Each must
+        // run one: an instance that never noticed that its predecessor was responsible for the
+        // keys answers `unknown`, which is correct but not what is tested here.
+        let mut without_order: BTreeSet<usize> = (0..fleet.members.len()).collect();
+        while !without_order.is_empty() {
             let order = format!("order-{}", orders.len());
-            idle.remove(&run_order(&fleet, &caller, 0, &order));
+            without_order.remove(&run_order(&fleet, &caller, 0, &order));
             orders.push(order);
         }
     }
     for order in &orders {
         let headers = [("Idempotency-Key", order.as_str())];
-        let repeat = caller.order(fleet.callers(0), &headers, order).unwrap();
+        let repeat = caller
+            .send_order(fleet.callers(0), &headers, order)
+            .unwrap();
         assert_eq!(
             (repeat.status, repeat.ran().as_str()),
             (409, "yes"),
@@ -188,19 +197,22 @@
     }
 }
 
-/// Runs an order whose key is the order's name. Until the instance has read the
-/// registrations it refuses truthfully. Returns the index of the instance that ran it.
+/// Runs an order whose idempotency key is the order's name. Retries while the instance has not
+/// read the registrations and refuses the order as not run. Returns the index of the instance
+/// that ran it.
 fn run_order(fleet: &Fleet, caller: &Caller, index: usize, order: &str) -> usize {
     let mut epoch = String::new();
     wait_until("the order runs", || {
         let headers = [("Idempotency-Key", order)];
-        let answer = caller.order(fleet.callers(index), &headers, order).unwrap();
+        let answer = caller
+            .send_order(fleet.callers(index), &headers, order)
+            .unwrap();
         let ran = answer.status == 200;
         assert!(ran || answer.ran() == "no", "{answer:?}");
         epoch = answer.header("jayreel-epoch").unwrap_or("").to_string();
         ran
     });
-    let ran_by = |member: &Member| {
+    let ran_by = |member: &FleetMember| {
         let name = format!("{}.", member.instance.options.name);
         epoch.starts_with(&name)
     };
@@ -208,35 +220,41 @@
     index.expect("the epoch names an instance")
 }
 
-/// What callers saw.
+/// Number of calls by outcome.
 #[derive(Default)]
-struct Seen {
+struct CallCounts {
     served: AtomicU64,
+    /// Complete responses with another status than 200.
     refused: AtomicU64,
+    /// Missing or incomplete responses.
     cut: AtomicU64,
 }
 
-/// Sends calls to the instances in rotation until told to stop.
-fn call_in_rotation(rotation: &Mutex<Vec<SocketAddr>>, stop: &AtomicBool, seen: &Seen) {
+/// Sends calls to the addresses in `rotation` in turn until `stop` is set.
+fn call_in_rotation(
+    rotation: &Mutex<Vec<SocketAddr>>,
+    stop: &AtomicBool,
+    counts: &CallCounts,
+) {
     let caller = Caller::new(ALPHA_KEY);
-    let mut turn = 0;
+    let mut next = 0;
     while !stop.load(Ordering::SeqCst) {
-        turn += 1;
+        next += 1;
         let to = {
             let rotation = rotation.lock().unwrap();
-            rotation[turn % rotation.len()]
+            rotation[next % rotation.len()]
         };
         let counter = match caller.chat(to, &[], "hello") {
-            Some(answer) if answer.complete && answer.status == 200 => &seen.served,
-            Some(answer) if answer.complete => &seen.refused,
-            _ => &seen.cut,
+            Some(answer) if answer.complete && answer.status == 200 => &counts.served,
+            Some(answer) if answer.complete => &counts.refused,
+            _ => &counts.cut,
         };
         counter.fetch_add(1, Ordering::SeqCst);
     }
 }
 
-// Guards against a rare cut in a planned stop, with callers behind a balancer that follows
-// /readyz (G13). For the figure in docs/MEASUREMENTS.md.
+// Guards against planned stops that rarely break a request, with callers behind a simulated
+// load balancer that follows /readyz (G13). Gives the figure in docs/MEASUREMENTS.md.
 #[test]
 #[ignore = "takes minutes: 100 planned stops under load"]
 fn hundred_planned_stops_cut_no_request() {
@@ -246,20 +264,20 @@
     };
     let mut fleet = Fleet::with_settings(3, engine, &[]);
     fleet.wait_connected();
-    fleet.wait_shares();
+    fleet.wait_home_shares();
     let addresses = (0..3).map(|index| fleet.callers(index)).collect();
     let rotation = Mutex::new(addresses);
-    let (stop, seen) = (AtomicBool::new(false), Seen::default());
+    let (stop, counts) = (AtomicBool::new(false), CallCounts::default());
     thread::scope(|scope| {
         for _ in 0..8 {
-            scope.spawn(|| call_in_rotation(&rotation, &stop, &seen));
+            scope.spawn(|| call_in_rotation(&rotation, &stop, &counts));
         }
         for round in 0..100 {
             let member = fleet.members.remove(round % 3);
             let address = member.instance.callers;
             let options = member.instance.options.clone();
             member.instance.terminate();
-            wait_until("the balancer is told", || {
+            wait_until("the instance reports that it is not ready", || {
                 member.instance.probe("/readyz") != Some(200)
             });
             rotation.lock().unwrap().retain(|one| *one != address);
@@ -268,7 +286,7 @@
             member.peer_relay.set_target(instance.peers);
             instance.wait_ready();
             rotation.lock().unwrap().push(instance.callers);
-            let member = Member {
+            let member = FleetMember {
                 instance,
                 store_relay: member.store_relay,
                 peer_relay: member.peer_relay,
@@ -280,10 +298,10 @@
     let count = |counter: &AtomicU64| counter.load(Ordering::SeqCst);
     println!(
         "served {} refused {} cut {}",
-        count(&seen.served),
-        count(&seen.refused),
-        count(&seen.cut)
+        count(&counts.served),
+        count(&counts.refused),
+        count(&counts.cut)
     );
-    assert_eq!(count(&seen.cut), 0);
-    assert!(count(&seen.served) > 1_000);
+    assert_eq!(count(&counts.cut), 0);
+    assert!(count(&counts.served) > 1_000);
 }
--- a/tests/tests.rs
+++ b/tests/tests.rs
@@ -1,4 +1,8 @@
-//! Tests of the real binary: several processes with stand-ins for the outside systems.
+//! Integration tests of the `jayreel` binary.
+//!
+//! Each test starts one or more processes of the binary and simulates the store, the engines
+//! and the plain services. Codes such as `G7` in comments name the requirement that a test
+//! covers.
 
 mod util;
 
--- a/tests/util/caller.rs
+++ b/tests/util/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the chat completions API and of plain services.
+//! HTTP client for the chat completions API, for programs and for plain services.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -7,32 +7,33 @@
 use serde_json::{Value, json};
 use ureq::Agent;
 
-/// One answer, read to its end.
+/// A response whose body was read until its end or until the connection broke.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status.
     pub status: u16,
-    /// Headers in lower case.
+    /// Headers, with the names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// The part of the body that arrived.
     pub body: String,
-    /// Whether the body arrived completely.
+    /// Whether the whole body arrived.
     pub complete: bool,
 }
 
-impl Answer {
-    /// The body as JSON.
+impl Response {
+    /// The body as JSON. `Null` if it is not JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or(Value::Null)
     }
 
-    /// The value of a header.
+    /// The value of a header, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(key, _)| key == name);
         found.map(|(_, value)| value.as_str())
     }
 
-    /// `ran` of the JSON error.
+    /// The `ran` field of a refusal: whether the call ran at an endpoint. Empty if there is
+    /// none.
     pub fn ran(&self) -> String {
         self.json()["error"]["ran"]
             .as_str()
@@ -40,7 +41,7 @@
             .to_string()
     }
 
-    /// `code` of the JSON error.
+    /// The `code` field of a refusal. Empty if there is none.
     pub fn code(&self) -> String {
         self.json()["error"]["code"]
             .as_str()
@@ -49,7 +50,7 @@
     }
 }
 
-/// Sends requests with one key.
+/// Sends requests with one customer key, each on a new connection.
 #[derive(Clone)]
 pub struct Caller {
     agent: Agent,
@@ -57,7 +58,6 @@
 }
 
 impl Caller {
-    /// A caller with a customer key.
     pub fn new(key: &str) -> Caller {
         let config = Agent::config_builder()
             .http_status_as_error(false)
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Sends a request. `None` if the connection failed before an answer began.
+    /// Sends a request. `None` if the connection failed before the headers of a response.
     pub fn send(
         &self,
         to: SocketAddr,
@@ -78,7 +78,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
-    ) -> Option<Answer> {
+    ) -> Option<Response> {
         let mut request = ureq::http::Request::builder()
             .method(method)
             .uri(format!("http://{to}{path}"))
@@ -107,7 +107,7 @@
             .read_to_end(&mut bytes)
             .is_ok();
         let body = String::from_utf8_lossy(&bytes).into_owned();
-        Some(Answer {
+        Some(Response {
             status,
             headers,
             body,
@@ -115,13 +115,13 @@
         })
     }
 
-    /// Sends a chat completion.
+    /// Sends a chat completion for `test-model` with `text` as the only message.
     pub fn chat(
         &self,
         to: SocketAddr,
         headers: &[(&str, &str)],
         text: &str,
-    ) -> Option<Answer> {
+    ) -> Option<Response> {
         let body = json!({
             "model": "test-model",
             "max_tokens": 8,
@@ -145,15 +145,15 @@
         answer.json()["id"].as_str().unwrap().to_string()
     }
 
-    /// Sends a request to the plain service that may not be repeated.
-    pub fn order(
+    /// Sends a non-repeatable request to the plain service, which counts it under `tag`.
+    pub fn send_order(
         &self,
         to: SocketAddr,
         headers: &[(&str, &str)],
         tag: &str,
-    ) -> Option<Answer> {
-        let mut all = vec![("X-Request-Tag", tag)];
-        all.extend_from_slice(headers);
-        self.send(to, "POST", "/orders/new", &all, "{}")
+    ) -> Option<Response> {
+        let mut all_headers = vec![("X-Request-Tag", tag)];
+        all_headers.extend_from_slice(headers);
+        self.send(to, "POST", "/orders/new", &all_headers, "{}")
     }
 }
--- a/tests/util/fleet.rs
+++ b/tests/util/fleet.rs
@@ -1,4 +1,6 @@
-//! A fleet: stand-ins, instances and the relays between them.
+//! A fleet of instances with a simulated store, engine and plain service.
+//!
+//! Relays on the connections to the store and between peers let a test cut or delay them.
 
 use std::net::SocketAddr;
 
@@ -13,46 +15,48 @@
 use super::process::{Instance, InstanceOptions};
 use super::relay::{Mode, Relay};
 
-/// The key of customer `alpha`.
+/// Key of the customer `alpha`.
 pub const ALPHA_KEY: &str = "alpha-secret-key";
-/// The key of customer `beta`.
+/// Key of the customer `beta`.
 pub const BETA_KEY: &str = "beta-secret-key";
 
-/// An instance with the relays to it and from it.
-pub struct Member {
+/// An instance with the relays on its connections.
+pub struct FleetMember {
     /// The process.
     pub instance: Instance,
-    /// Between the instance and the store.
+    /// Relays the connections of the instance to the store.
     pub store_relay: Relay,
-    /// Between its peers and the instance.
+    /// Relays the connections of its peers to the instance.
     pub peer_relay: Relay,
 }
 
-/// Stand-ins and instances.
+/// Instances and the simulated systems that they use.
 pub struct Fleet {
-    /// The store's gateway.
+    /// Gateway through which the instances use the store.
     pub gateway: StoreGateway,
-    /// The store behind it, which stays reachable for the test.
+    /// The store behind the gateway. The test uses it directly, also while the instances are
+    /// cut off from it.
     pub store: MemoryStore,
-    /// The model engine.
+    /// The model engine, endpoint `engine-0`.
     pub engine: Engine,
-    /// The plain service.
+    /// The plain service, endpoint `orders-0`.
     pub service: PlainService,
-    /// The instances.
-    pub members: Vec<Member>,
+    /// The running instances. Their indices change when one is removed.
+    pub members: Vec<FleetMember>,
 }
 
 impl Fleet {
-    /// A fleet of `size` instances in two availability zones.
+    /// Starts `size` instances in two availability zones and waits until all are ready.
     pub fn start(size: usize) -> Fleet {
         Fleet::with_settings(size, EngineSettings::default(), &[])
     }
 
-    /// A fleet with an engine and more settings of the instances.
+    /// Like [`Fleet::start`], with settings for the engine and extra settings (section, key and
+    /// value) for each instance.
     pub fn with_settings(
         size: usize,
         engine: EngineSettings,
-        more: &[(&str, &str, &str)],
+        extra: &[(&str, &str, &str)],
     ) -> Fleet {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let store = MemoryStore::new();
@@ -66,11 +70,11 @@
             service,
             members: Vec::new(),
         };
-        fleet.configure();
-        let more = owned(more);
+        fleet.write_configuration();
+        let extra = owned(extra);
         for index in 0..size {
             let store_relay = Relay::to(fleet.gateway.address());
-            let member = fleet.start_member(index, store_relay, more.clone());
+            let member = fleet.start_member(index, store_relay, extra.clone());
             fleet.members.push(member);
         }
         for member in &fleet.members {
@@ -79,20 +83,25 @@
         fleet
     }
 
-    /// Starts one more instance whose store is as `mode` says, with the peer address of the
-    /// first one as seed. Does not wait until it is ready.
-    pub fn join(&mut self, index: usize, mode: Mode, more: &[(&str, &str, &str)]) {
+    /// Starts one more instance with the peer address of the first one as its seed. `mode` is
+    /// that of its store connection. Does not wait until it is ready.
+    pub fn start_late_member(
+        &mut self,
+        index: usize,
+        mode: Mode,
+        extra: &[(&str, &str, &str)],
+    ) {
         let seed = self.members[0].peer_relay.address().to_string();
         let store_relay = Relay::to(self.gateway.address());
         store_relay.set(mode);
-        let mut more = owned(more);
-        more.push(("peers".to_string(), "seeds".to_string(), seed));
-        let member = self.start_member(index, store_relay, more);
+        let mut extra = owned(extra);
+        extra.push(("peers".to_string(), "seeds".to_string(), seed));
+        let member = self.start_member(index, store_relay, extra);
         self.members.push(member);
     }
 
-    /// Cuts all instances off from the store, or connects them again.
-    pub fn set_store(&self, mode: Mode) {
+    /// Sets the mode of the store connections of all instances.
+    pub fn set_store_mode(&self, mode: Mode) {
         self.members
             .iter()
             .for_each(|member| member.store_relay.set(mode));
@@ -102,45 +111,47 @@
         &self,
         index: usize,
         store_relay: Relay,
-        more: Vec<(String, String, String)>,
-    ) -> Member {
+        extra: Vec<(String, String, String)>,
+    ) -> FleetMember {
         let peer_relay = Relay::new();
         let instance = Instance::start(InstanceOptions {
             name: format!("entry-{index}"),
             availability_zone: format!("zone-{}", index % 2),
             store: store_relay.address(),
             advertise: Some(peer_relay.address()),
-            more,
+            extra,
         });
         peer_relay.set_target(instance.peers);
-        Member {
+        FleetMember {
             instance,
             store_relay,
             peer_relay,
         }
     }
 
-    /// Replaces a killed instance by a new process of the same name.
+    /// Kills an instance, or collects one that has ended, and starts a new process of the same
+    /// name with the same settings. Waits until it is ready.
     pub fn restart(&mut self, index: usize) {
         let member = self.members.remove(index);
         let options = member.instance.kill();
         let instance = Instance::start(options);
         member.peer_relay.set_target(instance.peers);
         instance.wait_ready();
-        self.members.insert(index, Member { instance, ..member });
+        self.members
+            .insert(index, FleetMember { instance, ..member });
     }
 
-    /// Address for operators of an instance.
+    /// Address of an instance's administration API.
     pub fn admin(&self, index: usize) -> SocketAddr {
         self.members[index].instance.admin
     }
 
-    /// Kills an instance for good.
+    /// Kills an instance and removes it from the fleet.
     pub fn kill(&mut self, index: usize) {
         self.members.remove(index).instance.kill();
     }
 
-    /// Waits until each instance sees all others alive.
+    /// Waits until the status of each instance lists all others as alive.
     pub fn wait_connected(&self) {
         let others = self.members.len() - 1;
         for member in &self.members {
@@ -153,8 +164,8 @@
         }
     }
 
-    /// Waits until every instance has its home share of the rates in force.
-    pub fn wait_shares(&self) {
+    /// Waits until every instance may use its home share of the customers' rates.
+    pub fn wait_home_shares(&self) {
         for member in &self.members {
             super::wait_until("the instance has a home share", || {
                 let status = operate(member.instance.admin, &["status"]).json;
@@ -163,12 +174,12 @@
         }
     }
 
-    /// Address for callers of an instance.
+    /// Address of an instance's server for callers.
     pub fn callers(&self, index: usize) -> SocketAddr {
         self.members[index].instance.callers
     }
 
-    /// Writes a configuration record past all instances.
+    /// Writes a configuration record directly to the store, without the administration API.
     pub fn put(&self, key: &str, value: &Value) {
         let write = Write::Put {
             key: format!("config/{key}"),
@@ -182,16 +193,17 @@
         self.store.commit(transaction).unwrap();
     }
 
-    /// Sets the rate and burst of a customer, in thousandths.
-    pub fn put_customer(&self, name: &str, rate_mreq_per_s: u64, burst_mreq: u64) {
+    /// Sets a customer's rate and burst, in thousandths of requests per second and of requests.
+    pub fn put_customer_rate(&self, name: &str, rate_mreq_per_s: u64, burst_mreq: u64) {
         let value =
             json!({ "rate_mreq_per_s": rate_mreq_per_s, "burst_mreq": burst_mreq });
         self.put(&format!("customers/{name}"), &value);
     }
 
-    fn configure(&mut self) {
-        self.put_customer("alpha", 1_000_000, 1_000_000);
-        self.put_customer("beta", 1_000_000, 1_000_000);
+    /// Writes the customers, their keys, a default profile, the endpoints and the routes.
+    fn write_configuration(&mut self) {
+        self.put_customer_rate("alpha", 1_000_000, 1_000_000);
+        self.put_customer_rate("beta", 1_000_000, 1_000_000);
         for (key, customer) in [(ALPHA_KEY, "alpha"), (BETA_KEY, "beta")] {
             let path = format!("keys/{}", KeyHash::of_key(key));
             self.put(&path, &json!({ "customer": customer }));
--- a/tests/util/mod.rs
+++ b/tests/util/mod.rs
@@ -1,6 +1,6 @@
-//! Sets up fleets of real instances with stand-ins.
+//! Starts fleets of `jayreel` processes, and simulates the systems and users around them.
 
-#![allow(dead_code, reason = "each theme uses a part of the bench")]
+#![allow(dead_code, reason = "each test module uses a part of this module")]
 
 pub mod caller;
 pub mod fleet;
@@ -13,19 +13,24 @@
 
 use jayreel_standin::PlainService;
 
-/// Generous limit of all waits. Reached only if a test fails.
-pub const LIMIT: Duration = Duration::from_secs(60);
+/// Timeout of [`wait_until`]. Long enough for a busy machine, so it is reached only if a test
+/// fails.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Waits until `condition` holds.
+/// Polls until `condition` holds.
+///
+/// # Panics
+///
+/// After [`WAIT_TIMEOUT`], with `what` in the message.
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
-    let deadline = Instant::now() + LIMIT;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
         assert!(Instant::now() < deadline, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// How often a plain service ran the requests with a tag.
-pub fn count(service: &PlainService, tag: &str) -> u64 {
+/// How many requests with this value of the `X-Request-Tag` header a plain service has run.
+pub fn run_count(service: &PlainService, tag: &str) -> u64 {
     service.runs().counts.get(tag).copied().unwrap_or(0)
 }
--- a/tests/util/operator.rs
+++ b/tests/util/operator.rs
@@ -1,4 +1,4 @@
-//! Operator commands of the real binary.
+//! Runs operator commands of the `jayreel` binary.
 
 use std::net::SocketAddr;
 use std::process::Command;
@@ -7,12 +7,12 @@
 
 use super::process::ADMIN_KEY;
 
-/// What a command did.
+/// Result of an operator command.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Exit code.
+    /// Exit code, -1 if a signal ended the command.
     pub code: i32,
-    /// Standard output as JSON, `Null` if it is none.
+    /// Standard output as JSON. `Null` if it is not JSON.
     pub json: Value,
 }
 
--- a/tests/util/process.rs
+++ b/tests/util/process.rs
@@ -1,4 +1,4 @@
-//! Processes of the real binary.
+//! Processes of the `jayreel` binary.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -8,31 +8,31 @@
 
 use super::wait_until;
 
-/// The key of the operators in all tests.
+/// The operators' key in all tests.
 pub const ADMIN_KEY: &str = "test-admin-key";
 
-/// The secret of the fleet is the hash of this text.
+/// The fleet secret in the settings is the hash of this text.
 pub const FLEET_SECRET: &str = "test fleet secret";
 
 /// Settings of one instance.
 #[derive(Clone, Debug)]
 pub struct InstanceOptions {
-    /// Unique name.
+    /// Name of the instance, unique within its fleet.
     pub name: String,
     /// Availability zone.
     pub availability_zone: String,
-    /// The store's gateway.
+    /// Address of the store's gateway.
     pub store: SocketAddr,
-    /// Address that peers are told.
+    /// Address that is advertised to peers instead of the one that the instance listens on.
     pub advertise: Option<SocketAddr>,
-    /// More lines, as `section.key = value`.
-    pub more: Vec<(String, String, String)>,
+    /// Further settings as section, key and value. They override the defaults of the tests.
+    pub extra: Vec<(String, String, String)>,
 }
 
 /// A running instance. Killed when dropped.
 pub struct Instance {
     child: Child,
-    /// Its settings, for a restart.
+    /// The settings, kept for a restart.
     pub options: InstanceOptions,
     /// Address for callers.
     pub callers: SocketAddr,
@@ -43,7 +43,8 @@
 }
 
 impl Instance {
-    /// Starts the process and waits for its addresses.
+    /// Starts the process and reads its addresses from its output. Does not wait until it is
+    /// ready.
     pub fn start(options: InstanceOptions) -> Instance {
         let settings = settings_file(&options);
         let mut child = Command::new(env!("CARGO_BIN_EXE_jayreel"))
@@ -75,14 +76,15 @@
         }
     }
 
-    /// Waits until the instance takes calls.
+    /// Waits until the instance reports that it is ready for callers.
     pub fn wait_ready(&self) {
         wait_until("the instance is ready", || {
             self.probe("/readyz") == Some(200)
         });
     }
 
-    /// Status of a path on the callers' listener.
+    /// Requests a path from the callers' server, without a key. Returns the status, or `None`
+    /// if the request failed.
     pub fn probe(&self, path: &str) -> Option<u16> {
         let agent: ureq::Agent = ureq::Agent::config_builder()
             .http_status_as_error(false)
@@ -96,29 +98,29 @@
         Some(response.status().as_u16())
     }
 
-    /// Ends the process without warning.
+    /// Kills the process with SIGKILL. Returns its settings, for a restart.
     pub fn kill(mut self) -> InstanceOptions {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
         self.options.clone()
     }
 
-    /// Stops the process's execution until [`Instance::resume`].
+    /// Suspends the process with SIGSTOP until [`Instance::resume`].
     pub fn pause(&self) {
         self.signal("STOP");
     }
 
-    /// Continues a paused process.
+    /// Continues a suspended process.
     pub fn resume(&self) {
         self.signal("CONT");
     }
 
-    /// Asks for a planned stop.
+    /// Starts a planned stop with SIGTERM.
     pub fn terminate(&self) {
         self.signal("TERM");
     }
 
-    /// Whether the process has ended, with success.
+    /// `None` while the process runs, then whether it ended with exit code 0.
     pub fn exited(&mut self) -> Option<bool> {
         self.child
             .try_wait()
@@ -126,7 +128,7 @@
             .map(|status| status.success())
     }
 
-    /// Waits for the end of a planned stop.
+    /// Waits for the end of a planned stop, which must succeed.
     pub fn wait_exit(mut self) {
         let mut success = None;
         wait_until("the instance has stopped", || {
@@ -159,7 +161,8 @@
     directory
 }
 
-fn unique(name: &str, suffix: &str) -> PathBuf {
+/// A path that no other test uses.
+fn unique_path(name: &str, suffix: &str) -> PathBuf {
     use std::sync::atomic::{AtomicU64, Ordering};
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -167,10 +170,11 @@
 }
 
 fn log_file(name: &str) -> Stdio {
-    let path = unique(name, "log");
+    let path = unique_path(name, "log");
     std::fs::File::create(path).unwrap().into()
 }
 
+/// Writes the settings of an instance to a file. Returns its path.
 fn settings_file(options: &InstanceOptions) -> PathBuf {
     let admin_hash = blake3::hash(ADMIN_KEY.as_bytes());
     let secret = blake3::hash(FLEET_SECRET.as_bytes());
@@ -208,8 +212,8 @@
         ),
     ];
     sections.push(("log".into(), vec!["level = debug".into()]));
-    // Short loans end within a test. Calls wait long for their rate, so that a busy
-    // machine causes no refusals.
+    // Loans are short so that they end within a test. Calls wait long for the customer's
+    // rate, so that a slow machine does not cause refusals.
     let quota = vec!["loan_term_ms = 500".into(), "wait_ms = 10000".into()];
     sections.push(("quota".into(), quota));
     let mut add = |section: &str, key: &str, value: &str| {
@@ -225,14 +229,14 @@
     if let Some(advertise) = options.advertise {
         add("peers", "advertise", &advertise.to_string());
     }
-    for (section, key, value) in &options.more {
+    for (section, key, value) in &options.extra {
         add(section, key, value);
     }
     let text: String = sections
         .into_iter()
         .map(|(name, lines)| format!("[{name}]\n{}\n", lines.join("\n")))
         .collect();
-    let path = unique(&options.name, "ini");
+    let path = unique_path(&options.name, "ini");
     std::fs::write(&path, text).unwrap();
     path
 }
--- a/tests/util/relay.rs
+++ b/tests/util/relay.rs
@@ -1,4 +1,5 @@
-//! A TCP relay whose connections can be cut or frozen.
+//! A TCP relay that simulates network faults: cut, silent and slow connections, and lost
+//! responses.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,16 +7,16 @@
 use std::thread;
 use std::time::Duration;
 
-/// What the relay does to traffic.
+/// What the relay does with connections and traffic.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Mode {
-    /// Connections are closed and refused.
+    /// Open connections are closed, and new ones are closed at once.
     Cut,
-    /// Connections stay open and silent, new ones too.
+    /// Connections, new ones included, stay open but pass no traffic.
     Freeze,
-    /// What the target answers does not arrive.
+    /// Traffic to the target passes, traffic from it does not arrive.
     LoseAnswers,
-    /// Each piece of traffic is late.
+    /// Each read of traffic is delayed by 30 ms.
     Slow,
     /// Traffic passes.
     Pass,
@@ -24,13 +25,14 @@
 struct State {
     mode: Mode,
     target: Option<SocketAddr>,
-    /// Connections with an older number stay silent.
+    /// Incremented to make the open connections silent: those accepted under an older
+    /// generation pass no traffic.
     generation: u64,
-    /// Connections that were accepted.
+    /// Number of accepted connections.
     connections: usize,
 }
 
-/// Forwards connections to a target.
+/// Forwards connections to a target address. Clones control the same relay.
 #[derive(Clone)]
 pub struct Relay {
     address: SocketAddr,
@@ -38,7 +40,7 @@
 }
 
 impl Relay {
-    /// A relay that passes traffic once it has a target.
+    /// A relay without a target. Connections are closed until it has one.
     pub fn new() -> Relay {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -60,35 +62,35 @@
         relay
     }
 
-    /// A relay to `target`.
+    /// A relay that forwards to `target`.
     pub fn to(target: SocketAddr) -> Relay {
         let relay = Relay::new();
         relay.set_target(target);
         relay
     }
 
-    /// Where the relay listens.
+    /// Address on which the relay listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where new connections go.
+    /// Sets the target of new connections.
     pub fn set_target(&self, target: SocketAddr) {
         self.state.lock().unwrap().target = Some(target);
     }
 
-    /// Changes what happens to all connections.
+    /// Sets the mode, for open and new connections.
     pub fn set(&self, mode: Mode) {
         self.state.lock().unwrap().mode = mode;
     }
 
-    /// Makes the connections that are open now silent for good, without closing them.
-    /// New connections work.
+    /// Makes the connections that are open now permanently silent without closing them. New
+    /// connections pass traffic.
     pub fn silence_open_connections(&self) {
         self.state.lock().unwrap().generation += 1;
     }
 
-    /// Connections that were accepted.
+    /// Number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.state.lock().unwrap().connections
     }
@@ -97,7 +99,7 @@
         self.state.lock().unwrap().mode
     }
 
-    /// What happens to a connection of a generation.
+    /// The mode of a connection that was accepted under `generation`.
     fn mode_of(&self, generation: u64) -> Mode {
         let state = self.state.lock().unwrap();
         match state.mode {
@@ -106,6 +108,7 @@
         }
     }
 
+    /// Connects to the target and copies traffic in both directions until the connection ends.
     fn serve(&self, incoming: &TcpStream) {
         while self.mode() == Mode::Freeze {
             thread::sleep(Duration::from_millis(10));
@@ -127,6 +130,8 @@
         });
     }
 
+    /// Copies traffic in one direction until the connection ends or is cut. `are_answers` is
+    /// set for the direction from the target.
     fn pump(
         &self,
         mut from: &TcpStream,
