--- a/crates/core/src/instance/mod.rs
+++ b/crates/core/src/instance/mod.rs
@@ -36,7 +36,7 @@
 /// progress.
 const ADMIN_STOP_LIMIT: Duration = Duration::from_secs(10);
 
-/// A running instance.
+/// A running instance. Its threads go on until [`Instance::close`] is called.
 pub(crate) struct Instance {
     settings: Settings,
     registered: Registered,
@@ -100,17 +100,17 @@
         })
     }
 
-    /// Address of the callers' listener.
+    /// Bound address of the server for callers.
     pub(crate) fn caller_address(&self) -> SocketAddr {
         self.callers.address()
     }
 
-    /// Address of the operators' listener.
+    /// Bound address of the administration API.
     pub(crate) fn admin_address(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// Address of the peers' listener.
+    /// Bound address of the listener for peers, which may differ from the advertised one.
     pub(crate) fn peer_address(&self) -> SocketAddr {
         self.network.local_address()
     }
@@ -199,9 +199,9 @@
 
     /// `None` if the runner has ended or does not answer within 1 s.
     fn status(&self) -> Option<StatusReport> {
-        let (reply, answer) = bounded(1);
+        let (reply, status) = bounded(1);
         self.events.send(RunnerEvent::Status(reply)).ok()?;
-        answer.recv_timeout(Duration::from_secs(1)).ok()
+        status.recv_timeout(Duration::from_secs(1)).ok()
     }
 
     fn send(&self, input: Input) {
--- a/crates/core/src/peer_link/addresses.rs
+++ b/crates/core/src/peer_link/addresses.rs
@@ -25,7 +25,7 @@
 pub(super) struct Addresses {
     /// Addresses from the last read of the registrations.
     registered: BTreeMap<String, SocketAddr>,
-    /// When the registrations were last read.
+    /// When the registrations were last read. `None` if they never were.
     registered_at_ms: Option<u64>,
     /// Addresses from heartbeats and from other peers, with the time at which they were last
     /// received.
--- a/crates/core/src/peer_link/codec.rs
+++ b/crates/core/src/peer_link/codec.rs
@@ -96,7 +96,7 @@
                 is_planned: true,
             },
         },
-        // The remaining kinds are handled before.
+        // `HandoverTaken`. The receiver has handled all other kinds before.
         _ => PeerMessage::HandoverTaken,
     })
 }
--- a/crates/core/src/peer_link/mod.rs
+++ b/crates/core/src/peer_link/mod.rs
@@ -65,7 +65,7 @@
         self.lock().has_registered()
     }
 
-    /// Names and addresses of all peers with a known address.
+    /// Names and addresses of all peers to which messages can be sent.
     pub(super) fn known_peers(&self) -> Vec<(String, SocketAddr)> {
         let addresses = self.lock();
         let in_use = addresses.in_use().iter();
--- a/crates/core/src/shell/calls.rs
+++ b/crates/core/src/shell/calls.rs
@@ -16,7 +16,7 @@
 /// The parts of a request that are sent to an endpoint or to another instance. The
 /// caller's key is not among them, so it cannot leak that way.
 pub(crate) struct RequestParts {
-    /// HTTP method.
+    /// HTTP method of the caller's request.
     pub(crate) method: String,
     /// Path with the query string.
     pub(crate) path: String,
--- a/crates/core/src/shell/dispatch.rs
+++ b/crates/core/src/shell/dispatch.rs
@@ -74,6 +74,7 @@
         }
     }
 
+    /// Sends the call and relays the response. Runs on the call's thread.
     fn run(&self, dispatch: &Dispatch) {
         let id = dispatch.request_id;
         let Some((parts, responder)) = self.calls.take_responder(id) else {
@@ -139,6 +140,7 @@
         }
     }
 
+    /// Ends a call whose response is complete.
     fn finish(&self, id: RequestId, mut relay: ResponseRelay<'_>) {
         let usage = relay
             .usage
@@ -186,7 +188,7 @@
     }
 
     fn send(&self, event: Event) {
-        // The runner outlives all calls, so this fails only after a panic there.
+        // The runner outlives all calls, so this fails only after a panic in the runner.
         let _ = self
             .events
             .send(RunnerEvent::Reducer(Input::Schedule(event)));
@@ -296,6 +298,7 @@
     }
 }
 
+/// The `Jayreel-History` header of the response to a chat completion.
 fn history_header(parts: &RequestParts) -> Option<(String, String)> {
     let Operation::ChatCompletion(chat) = &parts.operation else {
         return None;
@@ -312,6 +315,7 @@
     }
 }
 
+/// A failure of a call that was not sent to the endpoint.
 fn not_run(message: impl Into<String>) -> CallFailure {
     CallFailure {
         ran: Ran::No,
--- a/crates/core/src/shell/forward.rs
+++ b/crates/core/src/shell/forward.rs
@@ -51,7 +51,7 @@
 pub(crate) fn insert_forwarded_call(
     id: ForwardId,
     call: &ForwardedCall,
-    answer: AnswerSender,
+    response: AnswerSender,
     calls: &CallTable,
     now_ms: u64,
 ) -> Result<CallArrived, serde_json::Error> {
@@ -62,7 +62,7 @@
                 RefusalReason::InvalidRequest,
                 "the forwarded call cannot be read",
             );
-            let _ = answer.refuse(refusal);
+            let _ = response.refuse(refusal);
             return Err(error);
         }
     };
@@ -79,7 +79,7 @@
         headers: call.headers.clone(),
         body: call.body.clone(),
     };
-    let sink = PeerResponseSink { answer };
+    let sink = PeerResponseSink { response };
     calls.insert(
         now_ms,
         parts,
@@ -116,7 +116,7 @@
 
 /// Sends a response to the instance that forwarded the call.
 struct PeerResponseSink {
-    answer: AnswerSender,
+    response: AnswerSender,
 }
 
 impl AnswerSink for PeerResponseSink {
@@ -129,11 +129,11 @@
             status,
             headers: headers.to_vec(),
         };
-        self.answer.head(head).map_err(|_| ResponderClosed)
+        self.response.head(head).map_err(|_| ResponderClosed)
     }
 
     fn chunk(&mut self, bytes: &[u8]) -> Result<(), ResponderClosed> {
-        self.answer.chunk(bytes).map_err(|_| ResponderClosed)
+        self.response.chunk(bytes).map_err(|_| ResponderClosed)
     }
 
     /// Blocks while the peer is slow to receive. Responses to forwarded calls are sent only by
@@ -143,14 +143,14 @@
     }
 
     fn close(self: Box<Self>) {
-        let _ = self.answer.close();
+        let _ = self.response.close();
     }
 
     /// Dropping the sender without closing it aborts the response.
     fn abort(self: Box<Self>) {}
 
     fn refuse(self: Box<Self>, refusal: &Refusal) {
-        let _ = self.answer.refuse(refusal.clone());
+        let _ = self.response.refuse(refusal.clone());
     }
 }
 
@@ -188,6 +188,7 @@
         }
     }
 
+    /// Sends the call and relays the response. Runs on the call's thread.
     fn run(&self, id: RequestId, to: &Incarnation) {
         let Some((parts, responder)) = self.calls.take_responder(id) else {
             let message = "the call was cancelled before it was forwarded".to_string();
@@ -198,14 +199,14 @@
             let message = "the call cannot be forwarded".to_string();
             return self.fail(id, Ran::No, RefusalReason::OwnerUnavailable, message);
         };
-        let mut answer = self.network.forward(to, call);
+        let mut response = self.network.forward(to, call);
         let mut relay = ForwardedResponseRelay {
             forwarder: self,
             id,
             head_sent: false,
         };
         let mut responder = Some(responder);
-        while let (Some(part), Some(open)) = (answer.next_part(), responder.take()) {
+        while let (Some(part), Some(open)) = (response.next_part(), responder.take()) {
             responder = relay.relay(part, open);
         }
     }
@@ -312,6 +313,7 @@
         None
     }
 
+    /// Ends a call whose caller has closed the connection. The owner may have run it.
     fn caller_gone(&self, responder: Responder) -> Option<Responder> {
         responder.abort();
         self.forwarder.calls.remove(self.id);
--- a/crates/core/src/store_link/mod.rs
+++ b/crates/core/src/store_link/mod.rs
@@ -32,7 +32,7 @@
 
 impl Context {
     fn send(&self, event: FleetEvent) {
-        // The runner outlives these threads, so this fails only after a panic there.
+        // The runner outlives these threads, so this fails only after a panic in the runner.
         let _ = self.events.send(RunnerEvent::Reducer(Input::Fleet(event)));
     }
 }
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -69,8 +69,8 @@
     for member in &fleet.members {
         wait_until("the configuration is in force", || {
             let to = member.instance.callers;
-            let answer = caller.send(to, "POST", "/v1/programs", &headers, "{}");
-            answer.is_some_and(|answer| answer.status == 201)
+            let response = caller.send(to, "POST", "/v1/programs", &headers, "{}");
+            response.is_some_and(|response| response.status == 201)
         });
     }
 }
@@ -87,16 +87,16 @@
     let caller = Caller::new(ALPHA_KEY);
     for number in 0..MAX_TRIES {
         let tag = format!("claim-{number}");
-        let answer = caller.send_order(fleet.callers(0), &[], &tag).unwrap();
+        let response = caller.send_order(fleet.callers(0), &[], &tag).unwrap();
         let runs = (run_count(&fleet.service, &tag), run_count(&silent, &tag));
         match runs {
-            (1, 0) => assert_eq!(answer.status, 200, "{answer:?}"),
+            (1, 0) => assert_eq!(response.status, 200, "{response:?}"),
             (0, 1) => {
-                assert!([502, 504].contains(&answer.status), "{answer:?}");
-                assert_eq!(answer.ran(), "unknown", "{answer:?}");
+                assert!([502, 504].contains(&response.status), "{response:?}");
+                assert_eq!(response.ran(), "unknown", "{response:?}");
                 return;
             }
-            _ => panic!("{tag} ran {runs:?} times: {answer:?}"),
+            _ => panic!("{tag} ran {runs:?} times: {response:?}"),
         }
     }
     panic!("no call reached the silent endpoint");
@@ -125,16 +125,16 @@
         let tag = format!("lookup-{number}");
         let headers = [("X-Request-Tag", tag.as_str())];
         let to = fleet.callers(0);
-        let answer = caller.send(to, "GET", "/lookup/1", &headers, "").unwrap();
-        assert_eq!(answer.status, 200, "{answer:?}");
+        let response = caller.send(to, "GET", "/lookup/1", &headers, "").unwrap();
+        assert_eq!(response.status, 200, "{response:?}");
         assert_eq!(run_count(&fleet.service, &tag), 1);
         run_count(&silent, &tag) == 1
     });
     assert!(reached, "no lookup reached the silent endpoint");
     let reached = (0..MAX_TRIES).any(|number| {
         let text = format!("question {number}");
-        let answer = caller.chat(fleet.callers(0), &[], &text).unwrap();
-        assert_eq!(answer.status, 200, "{answer:?}");
+        let response = caller.chat(fleet.callers(0), &[], &text).unwrap();
+        assert_eq!(response.status, 200, "{response:?}");
         !silent_engine.runs().counts.is_empty()
     });
     assert!(reached, "no chat reached the silent engine");
@@ -163,23 +163,26 @@
     let caller = Caller::new(ALPHA_KEY);
     for number in 0..20 {
         let tag = format!("moved-{number}");
-        let answer = caller.send_order(fleet.callers(0), &[], &tag).unwrap();
-        assert_eq!(answer.status, 200, "{answer:?}");
+        let response = caller.send_order(fleet.callers(0), &[], &tag).unwrap();
+        assert_eq!(response.status, 200, "{response:?}");
         assert_eq!(run_count(&other, &tag), 1);
     }
     other.faults().set(refuse);
     wait_until("the other endpoint refuses connections", || {
         std::net::TcpStream::connect(other.address()).is_err()
     });
-    let answer = caller.send_order(fleet.callers(0), &[], "refused").unwrap();
-    assert!([502, 503].contains(&answer.status), "{answer:?}");
-    assert_eq!(answer.ran(), "no", "{answer:?}");
+    let response = caller.send_order(fleet.callers(0), &[], "refused").unwrap();
+    assert!([502, 503].contains(&response.status), "{response:?}");
+    assert_eq!(response.ran(), "no", "{response:?}");
     fleet.service.faults().clear();
     other.faults().clear();
     wait_until("an endpoint is in use again", || {
-        let answer = caller.send_order(fleet.callers(0), &[], "healed").unwrap();
-        assert!(answer.status == 200 || answer.ran() == "no", "{answer:?}");
-        answer.status == 200
+        let response = caller.send_order(fleet.callers(0), &[], "healed").unwrap();
+        assert!(
+            response.status == 200 || response.ran() == "no",
+            "{response:?}"
+        );
+        response.status == 200
     });
     for (tag, runs) in [("refused", 0), ("healed", 1)] {
         let seen = run_count(&fleet.service, tag) + run_count(&other, tag);
@@ -193,15 +196,15 @@
 }
 
 /// The text and usage of a response, which is a stream or one JSON object.
-fn text_and_usage(answer: &Response, stream: bool) -> (String, Value) {
+fn text_and_usage(response: &Response, stream: bool) -> (String, Value) {
     if !stream {
-        let json = answer.json();
+        let json = response.json();
         let text = json["choices"][0]["message"]["content"].as_str();
         return (text.unwrap_or_default().to_string(), json["usage"].clone());
     }
     let mut text = String::new();
     let mut usage = Value::Null;
-    let events = answer.body.lines();
+    let events = response.body.lines();
     for event in events.filter_map(|line| line.strip_prefix("data: ")) {
         let json: Value = serde_json::from_str(event).unwrap_or(Value::Null);
         let delta = json["choices"][0]["delta"]["content"].as_str();
@@ -210,7 +213,7 @@
             usage = json["usage"].clone();
         }
     }
-    assert!(answer.body.trim_end().ends_with("[DONE]"), "{answer:?}");
+    assert!(response.body.trim_end().ends_with("[DONE]"), "{response:?}");
     (text, usage)
 }
 
@@ -249,14 +252,15 @@
                 }
                 let headers = [("Jayreel-Program", program.as_str())];
                 let path = "/v1/chat/completions";
-                let answer = caller.send(own, "POST", path, &headers, &body.to_string());
-                let answer = answer.unwrap();
-                assert_eq!(answer.status, 200, "{answer:?}");
-                assert!(answer.complete, "{answer:?}");
-                let (text, usage) = text_and_usage(&answer, stream);
+                let response =
+                    caller.send(own, "POST", path, &headers, &body.to_string());
+                let response = response.unwrap();
+                assert_eq!(response.status, 200, "{response:?}");
+                assert!(response.complete, "{response:?}");
+                let (text, usage) = text_and_usage(&response, stream);
                 assert_eq!(text, generated(number));
-                assert_eq!(usage["prompt_tokens"], number, "{answer:?}");
-                assert_eq!(usage["completion_tokens"], number, "{answer:?}");
+                assert_eq!(usage["prompt_tokens"], number, "{response:?}");
+                assert_eq!(usage["completion_tokens"], number, "{response:?}");
             })
         })
         .collect();
@@ -316,10 +320,10 @@
     let caller = Caller::new(ALPHA_KEY);
     let budget = |index: usize| {
         let to = fleet.callers(index);
-        let answer = caller.send(to, "POST", "/v1/programs", &[], "{}");
-        let answer = answer.unwrap();
-        assert_eq!(answer.status, 201, "{answer:?}");
-        answer.json()["budget_tokens"].as_u64().unwrap()
+        let response = caller.send(to, "POST", "/v1/programs", &[], "{}");
+        let response = response.unwrap();
+        assert_eq!(response.status, 201, "{response:?}");
+        response.json()["budget_tokens"].as_u64().unwrap()
     };
     fleet.members[1].instance.pause();
     for tokens in ["100001", "100002", "100003"] {
--- a/tests/feature.rs
+++ b/tests/feature.rs
@@ -10,9 +10,9 @@
 fn chat_completion_is_served() {
     let fleet = Fleet::start(1);
     let caller = Caller::new(ALPHA_KEY);
-    let answer = caller.chat(fleet.callers(0), &[], "hello").unwrap();
-    assert_eq!(answer.status, 200, "{answer:?}");
-    assert!(answer.json()["choices"][0]["message"]["content"].is_string());
+    let response = caller.chat(fleet.callers(0), &[], "hello").unwrap();
+    assert_eq!(response.status, 200, "{response:?}");
+    assert!(response.json()["choices"][0]["message"]["content"].is_string());
 }
 
 // Guards against a caller's key being sent to an endpoint.
@@ -41,11 +41,11 @@
 fn unknown_key_is_refused_as_not_run() {
     let fleet = Fleet::start(1);
     let caller = Caller::new("wrong-key");
-    let answer = caller.chat(fleet.callers(0), &[], "hello").unwrap();
-    assert_eq!((answer.status, answer.ran().as_str()), (401, "no"));
+    let response = caller.chat(fleet.callers(0), &[], "hello").unwrap();
+    assert_eq!((response.status, response.ran().as_str()), (401, "no"));
     let open = caller
         .send(fleet.callers(0), "GET", "/open/page", &[], "")
         .unwrap();
     assert_eq!(open.status, 200, "{open:?}");
-    assert_ne!(answer.json()["error"]["request_id"], Value::Null);
+    assert_ne!(response.json()["error"]["request_id"], Value::Null);
 }
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -50,14 +50,14 @@
     wait_until("the stream runs", || fleet.engine.load().0 == 1);
     let withdrawn = operate(fleet.admin(0), &["key", "withdraw", &hash]);
     assert_eq!(withdrawn.code, 0, "{withdrawn:?}");
-    let answer = streaming.join().unwrap().unwrap();
-    assert!(!answer.complete, "the stream was not cut");
+    let response = streaming.join().unwrap().unwrap();
+    assert!(!response.complete, "the stream was not cut");
     wait_until("the engine is free", || fleet.engine.load().0 == 0);
     for index in 0..2 {
-        let answer = Caller::new(&key)
+        let response = Caller::new(&key)
             .chat(fleet.callers(index), &[], "hello")
             .unwrap();
-        assert_eq!((answer.status, answer.ran().as_str()), (401, "no"));
+        assert_eq!((response.status, response.ran().as_str()), (401, "no"));
     }
 }
 
@@ -75,8 +75,8 @@
     assert_eq!(withdrawn.code, 1, "{withdrawn:?}");
     for index in 0..2 {
         wait_until("the key is refused", || {
-            let answer = Caller::new(BETA_KEY).chat(fleet.callers(index), &[], "hello");
-            answer.is_some_and(|answer| answer.status == 401)
+            let response = Caller::new(BETA_KEY).chat(fleet.callers(index), &[], "hello");
+            response.is_some_and(|response| response.status == 401)
         });
         let other = Caller::new(ALPHA_KEY).chat(fleet.callers(index), &[], "hello");
         assert_eq!(other.unwrap().status, 200);
@@ -93,7 +93,7 @@
     let hash = KeyHash::of_key(BETA_KEY).to_string();
     operate(fleet.admin(0), &["key", "withdraw", &hash]);
     wait_until("the key is refused", || {
-        let answer = Caller::new(BETA_KEY).chat(fleet.callers(1), &[], "hello");
-        answer.is_some_and(|answer| answer.status == 401)
+        let response = Caller::new(BETA_KEY).chat(fleet.callers(1), &[], "hello");
+        response.is_some_and(|response| response.status == 401)
     });
 }
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -85,8 +85,8 @@
     let adapter = ["--adapter", "tuned=second-model"];
     let added = change_endpoint(&fleet, &[&options[..], &adapter].concat());
     for (index, model) in ["second-model", "tuned", "test-model"].iter().enumerate() {
-        let answer = chat_with_model(&caller, fleet.callers(index % 2), model);
-        assert_eq!(answer.status, 200, "{model}: {answer:?}");
+        let response = chat_with_model(&caller, fleet.callers(index % 2), model);
+        assert_eq!(response.status, 200, "{model}: {response:?}");
     }
     let all = ["test-model:any", "second-model:any", "tuned@second-model"];
     assert_eq!(loaded(&fleet), all);
@@ -145,9 +145,9 @@
                 scope.spawn(move || {
                     let mut statuses = Vec::new();
                     while !done.load(Ordering::SeqCst) {
-                        let answer =
+                        let response =
                             chat_with_model(caller, fleet.callers(index), "test-model");
-                        statuses.push(answer.status);
+                        statuses.push(response.status);
                     }
                     statuses
                 })
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -18,11 +18,11 @@
     assert_eq!(created.code, 0, "{created:?}");
     for index in 0..2 {
         let headers = [("Jayreel-Profile", "night")];
-        let answer =
+        let response =
             caller.send(fleet.callers(index), "POST", "/v1/programs", &headers, "{}");
-        let answer = answer.unwrap();
-        assert_eq!(answer.status, 201, "{answer:?}");
-        assert_eq!(answer.json()["budget_tokens"], 5_000);
+        let response = response.unwrap();
+        assert_eq!(response.status, 201, "{response:?}");
+        assert_eq!(response.json()["budget_tokens"], 5_000);
     }
     let changed = operate(
         fleet.admin(1),
@@ -33,9 +33,9 @@
     assert_eq!(retired.code, 0, "{retired:?}");
     for index in 0..2 {
         let headers = [("Jayreel-Profile", "night")];
-        let answer =
+        let response =
             caller.send(fleet.callers(index), "POST", "/v1/programs", &headers, "{}");
-        assert_eq!(answer.unwrap().status, 403);
+        assert_eq!(response.unwrap().status, 403);
     }
     let listed = operate(fleet.admin(1), &["profile", "list"]).json;
     let night = listed
@@ -78,17 +78,17 @@
     );
     let drained = operate(fleet.admin(0), &["endpoint", "drain", "orders-0"]);
     assert_eq!(drained.code, 0, "{drained:?}");
-    let answer = caller.send_order(fleet.callers(0), &[], "after").unwrap();
+    let response = caller.send_order(fleet.callers(0), &[], "after").unwrap();
     assert_eq!(
-        (answer.status, answer.ran().as_str()),
+        (response.status, response.ran().as_str()),
         (503, "no"),
-        "{answer:?}"
+        "{response:?}"
     );
     assert!(!format!("{:?}", fleet.service.runs()).contains("after"));
     let activated = operate(fleet.admin(0), &["endpoint", "activate", "orders-0"]);
     assert_eq!(activated.code, 0, "{activated:?}");
-    let answer = caller.send_order(fleet.callers(0), &[], "again").unwrap();
-    assert_eq!(answer.status, 200, "{answer:?}");
+    let response = caller.send_order(fleet.callers(0), &[], "again").unwrap();
+    assert_eq!(response.status, 200, "{response:?}");
 }
 
 // Guards against the removal of an endpoint that another operator has changed in the
@@ -119,8 +119,8 @@
 fn operators_need_their_own_key() {
     let fleet = Fleet::start(1);
     let caller = Caller::new(ALPHA_KEY);
-    let answer = caller
+    let response = caller
         .send(fleet.admin(0), "GET", "/admin/v1/status", &[], "")
         .unwrap();
-    assert_eq!(answer.status, 401);
+    assert_eq!(response.status, 401);
 }
--- a/tests/outage.rs
+++ b/tests/outage.rs
@@ -33,10 +33,10 @@
     let token = caller.open(fleet.callers(0), &[]);
     let headers = [("Jayreel-Program", token.as_str())];
     for index in [0, 1, 0, 1] {
-        let answer = caller
+        let response = caller
             .chat(fleet.callers(index), &headers, "hello")
             .unwrap();
-        assert_eq!(answer.status, 200, "{answer:?}");
+        assert_eq!(response.status, 200, "{response:?}");
         let order = caller
             .send_order(fleet.callers(index), &headers, "order")
             .unwrap();
@@ -56,8 +56,8 @@
     let caller = Caller::new(ALPHA_KEY);
     for index in [0, 1] {
         wait_until("the instance serves", || {
-            let answer = caller.chat(fleet.callers(index), &[], "hello");
-            answer.is_some_and(|answer| answer.status == 200)
+            let response = caller.chat(fleet.callers(index), &[], "hello");
+            response.is_some_and(|response| response.status == 200)
         });
     }
 }
@@ -97,17 +97,17 @@
     let caller = Caller::new(ALPHA_KEY);
     wait_until("the change arrives through the peer", || {
         let headers = [("Jayreel-Profile", "fresh")];
-        let answer =
+        let response =
             caller.send(fleet.callers(1), "POST", "/v1/programs", &headers, "{}");
-        answer.is_some_and(|answer| answer.status == 201)
+        response.is_some_and(|response| response.status == 201)
     });
 }
 
 /// Waits until an instance refuses the key of `beta`.
 fn wait_key_refused(fleet: &Fleet, index: usize) {
     wait_until("the key is refused", || {
-        let answer = Caller::new(BETA_KEY).chat(fleet.callers(index), &[], "hello");
-        answer.is_some_and(|answer| answer.status == 401 && answer.ran() == "no")
+        let response = Caller::new(BETA_KEY).chat(fleet.callers(index), &[], "hello");
+        response.is_some_and(|response| response.status == 401 && response.ran() == "no")
     });
 }
 
@@ -117,8 +117,8 @@
     let token = caller.open(fleet.callers(to), &[]);
     let program = [("Jayreel-Program", token.as_str())];
     wait_until("the other instance forwards", || {
-        let answer = caller.send_order(fleet.callers(from), &program, "order");
-        answer.is_some_and(|answer| answer.status == 200)
+        let response = caller.send_order(fleet.callers(from), &program, "order");
+        response.is_some_and(|response| response.status == 200)
     });
 }
 
@@ -131,10 +131,10 @@
     started_member.instance.wait_ready();
     let ready_ms = started.elapsed().as_millis();
     let to = started_member.instance.callers;
-    let answer = Caller::new(ALPHA_KEY).chat(to, &[], "hello").unwrap();
+    let response = Caller::new(ALPHA_KEY).chat(to, &[], "hello").unwrap();
     let served_ms = started.elapsed().as_millis();
     println!("from nothing: ready_ms={ready_ms} first_call_answered_ms={served_ms}");
-    assert_eq!(answer.status, 200, "{answer:?}");
+    assert_eq!(response.status, 200, "{response:?}");
     let status = operate(started_member.instance.admin, &["status"]).json;
     assert_eq!(status["home_in_force_ppm"], 0, "{status}");
 }
@@ -206,12 +206,12 @@
     let ready = Instant::now();
     let mut refused = 0;
     wait_until("a call is served", || {
-        let answer = Caller::new(ALPHA_KEY).chat(fleet.callers(2), &[], "hello");
-        let answer = answer.unwrap();
-        if answer.status == 200 {
+        let response = Caller::new(ALPHA_KEY).chat(fleet.callers(2), &[], "hello");
+        let response = response.unwrap();
+        if response.status == 200 {
             return true;
         }
-        assert_eq!((answer.status, answer.ran().as_str()), (429, "no"));
+        assert_eq!((response.status, response.ran().as_str()), (429, "no"));
         refused += 1;
         false
     });
@@ -246,8 +246,8 @@
     let started = Instant::now();
     fleet.restart(1);
     println!("restart: ready_ms={}", started.elapsed().as_millis());
-    let answer = Caller::new(ALPHA_KEY).chat(fleet.callers(1), &[], "hello");
-    assert_eq!(answer.unwrap().status, 200);
+    let response = Caller::new(ALPHA_KEY).chat(fleet.callers(1), &[], "hello");
+    assert_eq!(response.unwrap().status, 200);
     wait_forwards(&fleet, 0, 1);
 }
 
@@ -264,10 +264,13 @@
     });
     fleet.start_late_member(1, Mode::Cut, &[("platform", "offline_grace_s", "4")]);
     fleet.members[1].instance.wait_ready();
-    let answer = Caller::new(ALPHA_KEY).chat(fleet.callers(1), &[], "hello");
-    let answer = answer.unwrap();
-    assert_eq!((answer.status, answer.code().as_str()), (503, "not_ready"));
-    assert_eq!(answer.ran(), "no");
+    let response = Caller::new(ALPHA_KEY).chat(fleet.callers(1), &[], "hello");
+    let response = response.unwrap();
+    assert_eq!(
+        (response.status, response.code().as_str()),
+        (503, "not_ready")
+    );
+    assert_eq!(response.ran(), "no");
     let served = Caller::new(ALPHA_KEY).chat(fleet.callers(0), &[], "hello");
     assert_eq!(served.unwrap().status, 200);
 }
@@ -360,7 +363,7 @@
     peer.send_snapshot("entry-0", &older);
     wait_key_refused(&fleet, 0);
     assert_eq!(revision(), Some(before));
-    let answer = Caller::new(ALPHA_KEY).chat(fleet.callers(0), &[], "hello");
-    assert_eq!(answer.unwrap().status, 200);
+    let response = Caller::new(ALPHA_KEY).chat(fleet.callers(0), &[], "hello");
+    assert_eq!(response.unwrap().status, 200);
     peer.network.close();
 }
--- a/tests/owners.rs
+++ b/tests/owners.rs
@@ -31,7 +31,7 @@
     }
     for owner in 0..2 {
         wait_until("forwards work again", || {
-            forward(owner).is_some_and(|answer| answer.status == 200)
+            forward(owner).is_some_and(|response| response.status == 200)
         });
     }
 }
@@ -44,11 +44,11 @@
 }
 
 impl CallLog {
-    fn add(&mut self, tag: &str, answer: Option<Response>) {
+    fn add(&mut self, tag: &str, response: Option<Response>) {
         self.responses
             .entry(tag.to_string())
             .or_default()
-            .push(answer);
+            .push(response);
     }
 
     /// Sends a non-repeatable call of a program and records the response. `tag` is also the
@@ -66,22 +66,27 @@
     /// Checks the responses against the number of runs at the endpoint: no call ran twice, and
     /// no response claims a run or a non-run that is not true.
     fn check(&self, service: &PlainService) {
-        for (tag, answers) in &self.responses {
+        for (tag, responses) in &self.responses {
             let runs = run_count(service, tag);
-            let served = answers
+            let served = responses
                 .iter()
                 .flatten()
-                .filter(|answer| answer.status == 200)
+                .filter(|response| response.status == 200)
                 .count();
-            let ran_no = |answer: &Option<Response>| {
-                answer.as_ref().is_some_and(|answer| answer.ran() == "no")
+            let ran_no = |response: &Option<Response>| {
+                response
+                    .as_ref()
+                    .is_some_and(|response| response.ran() == "no")
             };
-            assert!(runs <= 1, "{tag} ran {runs} times: {answers:?}");
-            assert!(served as u64 <= runs, "{tag} did not run: {answers:?}");
-            let says_yes = answers.iter().flatten().any(|answer| answer.ran() == "yes");
-            assert!(!says_yes || runs == 1, "{tag} did not run: {answers:?}");
-            if answers.iter().all(ran_no) {
-                assert_eq!(runs, 0, "{tag} ran in spite of `no`: {answers:?}");
+            assert!(runs <= 1, "{tag} ran {runs} times: {responses:?}");
+            assert!(served as u64 <= runs, "{tag} did not run: {responses:?}");
+            let says_yes = responses
+                .iter()
+                .flatten()
+                .any(|response| response.ran() == "yes");
+            assert!(!says_yes || runs == 1, "{tag} did not run: {responses:?}");
+            if responses.iter().all(ran_no) {
+                assert_eq!(runs, 0, "{tag} ran in spite of `no`: {responses:?}");
             }
         }
     }
@@ -103,10 +108,10 @@
     let mut epoch = None;
     wait_until("the program is continued", || {
         let headers = [("Jayreel-Program", program)];
-        let answer = Caller::new(ALPHA_KEY).chat(to, &headers, "go on");
-        epoch = answer
-            .filter(|answer| answer.status == 200)
-            .and_then(|answer| answer.header("jayreel-epoch").map(str::to_string));
+        let response = Caller::new(ALPHA_KEY).chat(to, &headers, "go on");
+        epoch = response
+            .filter(|response| response.status == 200)
+            .and_then(|response| response.header("jayreel-epoch").map(str::to_string));
         epoch.is_some()
     });
     epoch.unwrap()
@@ -182,8 +187,8 @@
         let to = all[number % all.len()];
         wait_until("a new non-repeatable call is served", || {
             calls.send_order(to, program, Some(epoch), &tag);
-            let answers = &calls.responses[&tag];
-            let last = answers.last().unwrap().as_ref().unwrap();
+            let responses = &calls.responses[&tag];
+            let last = responses.last().unwrap().as_ref().unwrap();
             assert!(last.status == 200 || last.ran() == "no", "{last:?}");
             last.status == 200
         });
@@ -220,8 +225,8 @@
         .collect();
     fleet.kill(killed);
     for thread in late {
-        let (answer, tag) = thread.join().unwrap();
-        calls.add(&tag, answer);
+        let (response, tag) = thread.join().unwrap();
+        calls.add(&tag, response);
     }
     let to = [0, 1].map(|index| fleet.callers(index));
     call_all_programs(&mut calls, &to, &programs, "once");
@@ -275,8 +280,8 @@
     call_all_programs(&mut calls, &others, &programs, "taken");
     fleet.members[paused].instance.resume();
     for thread in late {
-        let (answer, tag) = thread.join().unwrap();
-        calls.add(&tag, answer);
+        let (response, tag) = thread.join().unwrap();
+        calls.add(&tag, response);
     }
     // A process whose programs were taken over ends, and must be restarted.
     wait_until("the paused owner ends", || {
--- a/tests/programs.rs
+++ b/tests/programs.rs
@@ -36,15 +36,15 @@
     let caller = Caller::new(ALPHA_KEY);
     let token = caller.open(fleet.callers(0), &[]);
     let headers = [("Jayreel-Program", token.as_str())];
-    let answer = caller.chat(fleet.callers(0), &headers, "hello").unwrap();
-    assert_eq!(answer.status, 200, "{answer:?}");
+    let response = caller.chat(fleet.callers(0), &headers, "hello").unwrap();
+    assert_eq!(response.status, 200, "{response:?}");
     let path = format!("/v1/programs/{token}");
     let closed = caller.send(fleet.callers(0), "DELETE", &path, &[], "");
     assert_eq!(closed.unwrap().status, 200);
     let count = "jayreel_program_seconds_count{class=\"standard\",customer=\"alpha\"} 1";
     wait_until("the program's time is in the metrics", || {
         let metrics = caller.send(fleet.admin(0), "GET", "/metrics", &[], "");
-        metrics.is_some_and(|answer| answer.body.contains(count))
+        metrics.is_some_and(|response| response.body.contains(count))
     });
 }
 
@@ -56,12 +56,13 @@
     let token = Caller::new(ALPHA_KEY).open(fleet.callers(0), &[]);
     let headers = [("Jayreel-Program", token.as_str())];
     for index in 0..2 {
-        let answer = Caller::new(BETA_KEY).chat(fleet.callers(index), &headers, "hello");
-        let answer = answer.unwrap();
+        let response =
+            Caller::new(BETA_KEY).chat(fleet.callers(index), &headers, "hello");
+        let response = response.unwrap();
         assert_eq!(
-            (answer.status, answer.ran().as_str()),
+            (response.status, response.ran().as_str()),
             (403, "no"),
-            "{answer:?}"
+            "{response:?}"
         );
     }
 }
@@ -119,16 +120,16 @@
         200
     );
     fleet.kill(0);
-    let mut answer = None;
+    let mut response = None;
     wait_until("the program has a new owner", || {
-        answer = caller.chat(fleet.callers(0), &[program], "go on");
-        let seen = answer.as_ref().unwrap();
+        response = caller.chat(fleet.callers(0), &[program], "go on");
+        let seen = response.as_ref().unwrap();
         // The kill may interrupt a forwarded call that has run, so `unknown` is allowed too.
         assert!([200, 503].contains(&seen.status), "{seen:?}");
         seen.status == 200
     });
-    let answer = answer.unwrap();
-    let epoch = answer.header("jayreel-epoch").unwrap().to_string();
+    let response = response.unwrap();
+    let epoch = response.header("jayreel-epoch").unwrap().to_string();
     let repeat = caller
         .send_order(fleet.callers(0), &headers, "claim-1")
         .unwrap();
@@ -181,9 +182,9 @@
     let turns: BTreeSet<String> = threads
         .into_iter()
         .map(|thread| {
-            let answer = thread.join().unwrap();
-            assert_eq!(answer.status, 200, "{answer:?}");
-            answer.header("jayreel-turn").unwrap().to_string()
+            let response = thread.join().unwrap();
+            assert_eq!(response.status, 200, "{response:?}");
+            response.header("jayreel-turn").unwrap().to_string()
         })
         .collect();
     assert_eq!(turns.len(), 6, "each call has a turn of its own");
@@ -205,10 +206,10 @@
     let mut used = 0;
     let mut refused = None;
     for _ in 0..20 {
-        let answer = caller.chat(fleet.callers(0), &headers, "hi").unwrap();
-        match answer.status {
-            200 => used += answer.json()["usage"]["total_tokens"].as_u64().unwrap(),
-            _ => refused = Some(answer),
+        let response = caller.chat(fleet.callers(0), &headers, "hi").unwrap();
+        match response.status {
+            200 => used += response.json()["usage"]["total_tokens"].as_u64().unwrap(),
+            _ => refused = Some(response),
         }
     }
     let refused = refused.expect("the budget never ended");
@@ -234,8 +235,8 @@
         200
     );
     let long = "hello ".repeat(200);
-    let answer = caller.chat(fleet.callers(0), &headers, &long).unwrap();
-    assert_eq!(answer.status, 200);
+    let response = caller.chat(fleet.callers(0), &headers, &long).unwrap();
+    assert_eq!(response.status, 200);
     assert_eq!(fleet.engine.cache_tags().len(), 1);
     let path = format!("/v1/programs/{token}");
     let closed = caller
@@ -289,8 +290,8 @@
     let token = caller.open(fleet.callers(0), &[]);
     let headers = [("Jayreel-Program", token.as_str())];
     let long = "hello ".repeat(200);
-    let answer = caller.chat(fleet.callers(0), &headers, &long).unwrap();
-    assert_eq!(answer.status, 200, "{answer:?}");
+    let response = caller.chat(fleet.callers(0), &headers, &long).unwrap();
+    assert_eq!(response.status, 200, "{response:?}");
     assert_eq!(fleet.engine.cache_tags().len(), 1);
     fleet.kill(0);
     wait_until("the cache is released", || {
@@ -306,14 +307,14 @@
     fleet.wait_connected();
     let caller = Caller::new(ALPHA_KEY);
     let headers = [("Idempotency-Key", "order-1")];
-    let mut answers = Vec::new();
+    let mut responses = Vec::new();
     wait_until("the call runs", || {
-        let answer = caller
+        let response = caller
             .send_order(fleet.callers(1), &headers, "order-1")
             .unwrap();
-        let ran = answer.status == 200;
-        assert!(ran || answer.ran() == "no", "{answer:?}");
-        answers.push(answer);
+        let ran = response.status == 200;
+        assert!(ran || response.ran() == "no", "{response:?}");
+        responses.push(response);
         ran
     });
     // An instance that has not read the registrations yet refuses the call as not run.
@@ -339,11 +340,11 @@
     let headers = [("Idempotency-Key", "order-1")];
     let mut epoch = String::new();
     wait_until("the call runs", || {
-        let answer = caller
+        let response = caller
             .send_order(fleet.callers(1), &headers, "order-1")
             .unwrap();
-        epoch = answer.header("jayreel-epoch").unwrap_or("").to_string();
-        answer.status == 200
+        epoch = response.header("jayreel-epoch").unwrap_or("").to_string();
+        response.status == 200
     });
     let founder = (0..3)
         .find(|index| epoch.starts_with(&format!("entry-{index}.")))
@@ -353,11 +354,11 @@
         let headers = [("Idempotency-Key", key)];
         for index in 0..2 {
             wait_until("the founder is missed", || {
-                let answer = caller
+                let response = caller
                     .send_order(fleet.callers(index), &headers, key)
                     .unwrap();
-                assert_ne!(answer.status, 200, "{answer:?}");
-                (answer.status, answer.ran().as_str()) == (503, "unknown")
+                assert_ne!(response.status, 200, "{response:?}");
+                (response.status, response.ran().as_str()) == (503, "unknown")
             });
         }
     }
@@ -391,10 +392,10 @@
     }
     fleet.members[0].store_relay.set(Mode::Cut);
     wait_until("the program has a new owner", || {
-        let answer = caller.chat(fleet.callers(1), &[program], "go on").unwrap();
+        let response = caller.chat(fleet.callers(1), &[program], "go on").unwrap();
         // The cut may interrupt a forwarded call that has run, so `unknown` is allowed too.
-        assert!([200, 503].contains(&answer.status), "{answer:?}");
-        answer.status == 200
+        assert!([200, 503].contains(&response.status), "{response:?}");
+        response.status == 200
     });
     for member in &fleet.members {
         member.peer_relay.set(Mode::Pass);
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -41,8 +41,8 @@
                 thread::spawn(move || {
                     let caller = Caller::new(BETA_KEY);
                     while !stop.load(Ordering::SeqCst) {
-                        let answer = caller.send(to, "GET", "/lookup/page", &[], "");
-                        if answer.is_none() {
+                        let response = caller.send(to, "GET", "/lookup/page", &[], "");
+                        if response.is_none() {
                             thread::sleep(Duration::from_millis(20));
                         }
                     }
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -31,9 +31,9 @@
     wait_until("the instance reports that it is not ready", || {
         member.instance.probe("/readyz") != Some(200)
     });
-    let answer = running.join().unwrap();
-    assert_eq!(answer.status, 200, "{answer:?}");
-    assert!(answer.complete);
+    let response = running.join().unwrap();
+    assert_eq!(response.status, 200, "{response:?}");
+    assert!(response.complete);
     member.instance.wait_exit();
 }
 
@@ -57,10 +57,10 @@
                 let caller = Caller::new(ALPHA_KEY);
                 let mut served = 0;
                 while !stop.load(Ordering::SeqCst) {
-                    let answer =
+                    let response =
                         caller.chat(to, &[], "hello").expect("cut before a head");
-                    assert!(answer.complete, "cut in its body: {answer:?}");
-                    assert_eq!(answer.status, 200, "{answer:?}");
+                    assert!(response.complete, "cut in its body: {response:?}");
+                    assert_eq!(response.status, 200, "{response:?}");
                     served += 1;
                 }
                 served
@@ -204,12 +204,12 @@
     let mut epoch = String::new();
     wait_until("the order runs", || {
         let headers = [("Idempotency-Key", order)];
-        let answer = caller
+        let response = caller
             .send_order(fleet.callers(index), &headers, order)
             .unwrap();
-        let ran = answer.status == 200;
-        assert!(ran || answer.ran() == "no", "{answer:?}");
-        epoch = answer.header("jayreel-epoch").unwrap_or("").to_string();
+        let ran = response.status == 200;
+        assert!(ran || response.ran() == "no", "{response:?}");
+        epoch = response.header("jayreel-epoch").unwrap_or("").to_string();
         ran
     });
     let ran_by = |member: &FleetMember| {
@@ -245,8 +245,10 @@
             rotation[next % rotation.len()]
         };
         let counter = match caller.chat(to, &[], "hello") {
-            Some(answer) if answer.complete && answer.status == 200 => &counts.served,
-            Some(answer) if answer.complete => &counts.refused,
+            Some(response) if response.complete && response.status == 200 => {
+                &counts.served
+            }
+            Some(response) if response.complete => &counts.refused,
             _ => &counts.cut,
         };
         counter.fetch_add(1, Ordering::SeqCst);
--- a/tests/util/caller.rs
+++ b/tests/util/caller.rs
@@ -138,11 +138,11 @@
 
     /// Opens a program and returns its token.
     pub fn open(&self, to: SocketAddr, headers: &[(&str, &str)]) -> String {
-        let answer = self
+        let response = self
             .send(to, "POST", "/v1/programs", headers, "{}")
             .unwrap();
-        assert_eq!(answer.status, 201, "{answer:?}");
-        answer.json()["id"].as_str().unwrap().to_string()
+        assert_eq!(response.status, 201, "{response:?}");
+        response.json()["id"].as_str().unwrap().to_string()
     }
 
     /// Sends a non-repeatable request to the plain service, which counts it under `tag`.
