--- a/crates/core/src/instance/base.rs
+++ b/crates/core/src/instance/base.rs
@@ -257,7 +257,7 @@
         let listen = self.settings.admin.listen;
         let settings = from_settings::admin_settings(&self.settings);
         AdminServer::start(listen, settings, registry, Arc::new(administration))
-            .wrap_err_with(|| format!("cannot listen on {listen}"))
+            .wrap_err_with(|| format!("cannot listen on {listen} for operators"))
     }
 
     /// Starts the server for callers.
@@ -271,6 +271,6 @@
         let listen = self.settings.callers.listen;
         let settings = from_settings::server_settings(&self.settings);
         CallerServer::start(listen, settings, Arc::new(intake))
-            .wrap_err_with(|| format!("cannot listen on {listen}"))
+            .wrap_err_with(|| format!("cannot listen on {listen} for callers"))
     }
 }
--- a/crates/core/src/instance/from_settings.rs
+++ b/crates/core/src/instance/from_settings.rs
@@ -44,7 +44,7 @@
 ) -> eyre::Result<(TcpPeerNetwork, Receiver<Inbound>)> {
     let listen = settings.peers.listen;
     let listener = TcpListener::bind(listen)
-        .wrap_err_with(|| format!("cannot listen on {listen}"))?;
+        .wrap_err_with(|| format!("cannot listen on {listen} for peers"))?;
     let call_ms = settings.peers.timeout_ms;
     let config = PeerConfig {
         own: own.clone(),
--- a/crates/core/src/peer_link/receiver.rs
+++ b/crates/core/src/peer_link/receiver.rs
@@ -51,7 +51,7 @@
                 receiver.handle(arrived);
             }
         })
-        .wrap_err("cannot start the thread for peers")?;
+        .wrap_err("cannot start the peer receiver thread")?;
     Ok(())
 }
 
