--- a/crates/core/src/admin/confirm.rs
+++ b/crates/core/src/admin/confirm.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 
 use crate::admin::{AdminApi, json_response};
-use crate::shell::{ShellEvent, StatusReport};
+use crate::shell::{RunnerEvent, StatusReport};
 
 /// Maximum time that the response to a change is delayed until all instances confirm it.
 const CONFIRM_LIMIT: Duration = Duration::from_secs(5);
@@ -121,7 +121,7 @@
     /// The state of the reducer, or `None` if it does not respond within [`STATUS_LIMIT`].
     pub(super) fn status(&self) -> Option<StatusReport> {
         let (reply, response) = bounded(1);
-        self.events.send(ShellEvent::Status(reply)).ok()?;
+        self.events.send(RunnerEvent::Status(reply)).ok()?;
         response.recv_timeout(STATUS_LIMIT).ok()
     }
 
--- a/crates/core/src/admin/mod.rs
+++ b/crates/core/src/admin/mod.rs
@@ -22,7 +22,7 @@
 
 use crate::admin::confirm::STATUS_UNCONFIRMED;
 use crate::peer_link::PeerSender;
-use crate::shell::ShellEvent;
+use crate::shell::RunnerEvent;
 
 /// Handles the requests of operators.
 pub(crate) struct AdminApi {
@@ -30,7 +30,7 @@
     store: Arc<dyn Store>,
     feed: Arc<ConfigurationFeed>,
     peers: PeerSender,
-    events: Sender<ShellEvent>,
+    events: Sender<RunnerEvent>,
     offline_grace_s: u64,
 }
 
@@ -41,7 +41,7 @@
         store: Arc<dyn Store>,
         feed: Arc<ConfigurationFeed>,
         peers: PeerSender,
-        events: Sender<ShellEvent>,
+        events: Sender<RunnerEvent>,
         offline_grace_s: u64,
     ) -> AdminApi {
         let editor = ConfigurationEditor::new(Arc::clone(&store), Default::default());
--- a/tests/feature.rs
+++ b/tests/feature.rs
@@ -1,21 +1,21 @@
-//! The whole path, from a caller to an endpoint and back.
+//! The path of a call from a caller to an endpoint and back.
 
 use serde_json::Value;
 
 use crate::util::caller::Caller;
 use crate::util::fleet::{ALPHA_KEY, Fleet};
 
-// Guards against a break anywhere on the path of a call.
+// Guards against any fault that keeps a plain call from being served.
 #[test]
 fn chat_completion_is_served() {
     let fleet = Fleet::start(1);
     let caller = Caller::new(ALPHA_KEY);
-    let answer = caller.chat(fleet.callers(0), &[], "hello").unwrap();
-    assert_eq!(answer.status, 200, "{answer:?}");
-    assert!(answer.json()["choices"][0]["message"]["content"].is_string());
+    let response = caller.chat(fleet.callers(0), &[], "hello").unwrap();
+    assert_eq!(response.status, 200, "{response:?}");
+    assert!(response.json()["choices"][0]["message"]["content"].is_string());
 }
 
-// Guards against a caller's key reaching an endpoint.
+// Guards against a caller's key being sent to an endpoint.
 #[test]
 fn endpoint_never_sees_the_callers_key() {
     let fleet = Fleet::start(1);
@@ -26,7 +26,7 @@
     );
     assert_eq!(
         caller
-            .order(fleet.callers(0), &[], "order-1")
+            .send_order(fleet.callers(0), &[], "order-1")
             .unwrap()
             .status,
         200
@@ -35,16 +35,17 @@
     assert!(!seen.contains(ALPHA_KEY), "{seen}");
 }
 
-// Guards against serving a request without a valid key on a route that is not open.
+// Guards against requests without a valid key being served on routes that require one, and
+// refused on open routes.
 #[test]
 fn unknown_key_is_refused_as_not_run() {
     let fleet = Fleet::start(1);
     let caller = Caller::new("wrong-key");
-    let answer = caller.chat(fleet.callers(0), &[], "hello").unwrap();
-    assert_eq!((answer.status, answer.ran().as_str()), (401, "no"));
+    let response = caller.chat(fleet.callers(0), &[], "hello").unwrap();
+    assert_eq!((response.status, response.ran().as_str()), (401, "no"));
     let open = caller
         .send(fleet.callers(0), "GET", "/open/page", &[], "")
         .unwrap();
     assert_eq!(open.status, 200, "{open:?}");
-    assert_ne!(answer.json()["error"]["request_id"], Value::Null);
+    assert_ne!(response.json()["error"]["request_id"], Value::Null);
 }
