--- a/crates/core/src/instance/base.rs
+++ b/crates/core/src/instance/base.rs
@@ -7,7 +7,7 @@
 use crossbeam::channel::{Receiver, Sender, bounded, unbounded};
 use eyre::WrapErr;
 use jayreel_endpoint::{ClientSettings, EngineControl, HttpEndpointClient};
-use jayreel_fleet::{Input, Registered};
+use jayreel_fleet::{Input, RegisteredInstance};
 use jayreel_model::Incarnation;
 use jayreel_peer::{PeerEvent, PeerNetwork, TcpPeerNetwork};
 use jayreel_scheduler::Event;
@@ -18,11 +18,11 @@
 use jayreel_store::{ConfigurationFeed, FeedSettings, Registration, Store};
 use prometheus::Registry;
 
-use crate::admin::Administration;
+use crate::admin::AdminApi;
+use crate::call_metrics::CallMetrics;
 use crate::clock::Clock;
 use crate::engine_link::EngineLink;
 use crate::instance::from_settings;
-use crate::observe::Observer;
 use crate::peer_link::{self, PeerSender, SeedPoller};
 use crate::shell::{
     CallTable, Dispatcher, EffectHandlers, Forwarder, RequestSubmitter, Runner,
@@ -39,7 +39,7 @@
     /// This process.
     pub(super) own: Incarnation,
     /// The value of this process's registration in the store.
-    pub(super) registered: Registered,
+    pub(super) registered: RegisteredInstance,
     pub(super) calls: Arc<CallTable>,
     pub(super) events: Sender<RunnerEvent>,
     /// Whether callers are to be sent here, as `/readyz` reports it.
@@ -69,7 +69,7 @@
         let (network, inbound) = from_settings::start_peers(&settings, &own)?;
         let network = Arc::new(network);
         let peer_address = settings.peers.advertise.unwrap_or(network.local_address());
-        let registered = Registered {
+        let registered = RegisteredInstance {
             incarnation: own.clone(),
             availability_zone: settings.instance.availability_zone.clone(),
             peer_address: peer_address.to_string(),
@@ -195,7 +195,7 @@
             engines,
             peers: self.peers.clone(),
             store: store_link.effects(),
-            observer: Arc::new(Observer::new(self.clock, metrics)),
+            observer: Arc::new(CallMetrics::new(self.clock, metrics)),
         };
         let runner = Runner::new(
             self.clock,
@@ -247,7 +247,7 @@
         registry: Registry,
         feed: &Arc<ConfigurationFeed>,
     ) -> eyre::Result<AdminServer> {
-        let administration = Administration::new(
+        let administration = AdminApi::new(
             Arc::clone(&self.store),
             Arc::clone(feed),
             self.peers.clone(),
--- a/crates/core/src/instance/from_settings.rs
+++ b/crates/core/src/instance/from_settings.rs
@@ -5,9 +5,9 @@
 
 use crossbeam::channel::Receiver;
 use eyre::WrapErr;
-use jayreel_fleet::{FleetSettings, Reducer, Registered};
+use jayreel_fleet::{FleetSettings, Reducer, RegisteredInstance};
 use jayreel_model::{Incarnation, KeyHash};
-use jayreel_peer::{FleetSecret, PeerEvent, PeerConfig, PeerDeadlines, TcpPeerNetwork};
+use jayreel_peer::{FleetSecret, PeerConfig, PeerDeadlines, PeerEvent, TcpPeerNetwork};
 use jayreel_programs::TokenKey;
 use jayreel_scheduler::settings::{FairnessKind, OrderKind, PlacementKind};
 use jayreel_scheduler::{PolicySettings, SchedulerSettings};
@@ -62,7 +62,7 @@
 pub(super) fn reducer(
     settings: &Settings,
     own: &Incarnation,
-    registered: &Registered,
+    registered: &RegisteredInstance,
     clock: Clock,
 ) -> Reducer {
     let zone = settings.instance.availability_zone.clone();
--- a/crates/core/src/instance/mod.rs
+++ b/crates/core/src/instance/mod.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use crossbeam::channel::{Sender, bounded};
-use jayreel_fleet::{FleetEvent, Input, Registered};
+use jayreel_fleet::{FleetEvent, Input, RegisteredInstance};
 use jayreel_peer::TcpPeerNetwork;
 use jayreel_scheduler::Event;
 use jayreel_server::CallerServer;
@@ -39,7 +39,7 @@
 /// A running instance. Its threads go on until [`Instance::close`] is called.
 pub(crate) struct Instance {
     settings: Settings,
-    registered: Registered,
+    registered: RegisteredInstance,
     calls: Arc<CallTable>,
     events: Sender<RunnerEvent>,
     /// Whether callers are to be sent here, as `/readyz` reports it.
@@ -158,7 +158,7 @@
         self.ready.store(false, Ordering::SeqCst);
         self.callers.start_drain();
         self.send(Input::Schedule(Event::DrainStarted));
-        let leaving = Registered {
+        let leaving = RegisteredInstance {
             leaving: true,
             ..self.registered.clone()
         };
--- a/crates/core/src/peer_link/receiver.rs
+++ b/crates/core/src/peer_link/receiver.rs
@@ -6,7 +6,7 @@
 use crossbeam::channel::{Receiver, Sender};
 use eyre::WrapErr;
 use jayreel_fleet::{FleetEvent, Input};
-use jayreel_peer::{PeerEvent, MessageBody, PeerFailureKind};
+use jayreel_peer::{MessageBody, PeerEvent, PeerFailureKind};
 use jayreel_scheduler::Event;
 use jayreel_store::ConfigurationFeed;
 
@@ -74,7 +74,7 @@
                 id,
                 from,
                 call,
-                answer,
+                response: answer,
             } => {
                 let now_ms = self.clock.now_ms();
                 match insert_forwarded_call(id, &call, answer, &self.calls, now_ms) {
@@ -97,7 +97,9 @@
                 self.discovery
                     .add_peers(vec![(incarnation.instance, address)]);
             }
-            PeerEvent::Message { from, message } => self.handle_message(from, message.body),
+            PeerEvent::Message { from, message } => {
+                self.handle_message(from, message.body)
+            }
             PeerEvent::SendFailed { failure, .. }
                 if failure.kind == PeerFailureKind::UnknownPeer =>
             {
--- a/crates/core/src/shell/dispatch.rs
+++ b/crates/core/src/shell/dispatch.rs
@@ -5,7 +5,8 @@
 
 use crossbeam::channel::Sender;
 use jayreel_endpoint::{
-    CallFailure, CallHead, CallObserver, CallRequest, EndpointClient, Usage, UsageReader,
+    CallFailure, CallObserver, CallRequest, EndpointClient, ResponseHead, Usage,
+    UsageReader,
 };
 use jayreel_fleet::Input;
 use jayreel_model::{Ran, RefusalReason, RequestId};
@@ -250,7 +251,7 @@
         });
     }
 
-    fn head(&mut self, head: &CallHead) -> bool {
+    fn head(&mut self, head: &ResponseHead) -> bool {
         let mut headers = head.headers.clone();
         headers.extend(self.dispatch.response_headers.iter().cloned());
         headers.extend(self.history_header.take());
--- a/crates/core/src/shell/forward.rs
+++ b/crates/core/src/shell/forward.rs
@@ -12,12 +12,12 @@
 use jayreel_fleet::Input;
 use jayreel_model::{Incarnation, Ran, Refusal, RefusalReason, RequestId};
 use jayreel_peer::{
-    ResponseHead, ResponsePart, ResponseSender, ForwardId, ForwardedCall, PeerFailure,
-    PeerNetwork, Reached,
+    ForwardId, ForwardedCall, PeerFailure, PeerNetwork, Reached, ResponseHead,
+    ResponsePart, ResponseSender,
 };
 use jayreel_scheduler::Event;
 use jayreel_scheduler::event::{CallArrived, CallOperation};
-use jayreel_server::{ResponseSink, ChatParams, Operation, Responder, ResponderClosed};
+use jayreel_server::{ChatParams, Operation, Responder, ResponderClosed, ResponseSink};
 use serde::{Deserialize, Serialize};
 
 use crate::shell::calls::{CallTable, RequestParts};
@@ -255,7 +255,11 @@
 
 impl ForwardedResponseRelay<'_> {
     /// Sends one part to the caller. Returns the responder if more parts may follow.
-    fn relay(&mut self, part: ResponsePart, mut responder: Responder) -> Option<Responder> {
+    fn relay(
+        &mut self,
+        part: ResponsePart,
+        mut responder: Responder,
+    ) -> Option<Responder> {
         let sent = match part {
             ResponsePart::Head(head) => {
                 self.head_sent = true;
--- a/crates/core/src/shell/intake.rs
+++ b/crates/core/src/shell/intake.rs
@@ -8,7 +8,7 @@
 use jayreel_model::{KeyHash, Refusal, RefusalReason, RequestId};
 use jayreel_scheduler::Event;
 use jayreel_scheduler::event::{CallArrived, CallOperation};
-use jayreel_server::{IncomingRequest, RequestHandler, Operation};
+use jayreel_server::{IncomingRequest, Operation, RequestHandler};
 
 use crate::clock::Clock;
 use crate::shell::calls::{CallTable, RequestParts};
--- a/crates/core/src/shell/runner.rs
+++ b/crates/core/src/shell/runner.rs
@@ -17,10 +17,10 @@
 use jayreel_scheduler::{Effect, Event};
 use serde_json::json;
 
+use crate::call_metrics::CallMetrics;
 use crate::clock::Clock;
 use crate::engine_link::EngineLink;
 use crate::logging::Value;
-use crate::observe::Observer;
 use crate::peer_link::PeerSender;
 use crate::shell::calls::CallTable;
 use crate::shell::dispatch::Dispatcher;
@@ -75,7 +75,7 @@
     /// Queue of the thread that writes to the store.
     pub(crate) store: Sender<FleetEffect>,
     /// Records the metrics of calls.
-    pub(crate) observer: Arc<Observer>,
+    pub(crate) observer: Arc<CallMetrics>,
 }
 
 /// Owns the reducer and performs its effects.
--- a/crates/core/src/store_link/reader.rs
+++ b/crates/core/src/store_link/reader.rs
@@ -7,11 +7,13 @@
 use std::time::Duration;
 
 use crossbeam::channel::Receiver;
-use jayreel_fleet::{FleetEvent, Input, Registered};
+use jayreel_fleet::{FleetEvent, Input, RegisteredInstance};
 use jayreel_model::Incarnation;
 use jayreel_quota::home_weights::HomeRecord;
 use jayreel_scheduler::Event;
-use jayreel_store::{ConfigurationFeed, Registration, home_weights_record, registrations};
+use jayreel_store::{
+    ConfigurationFeed, Registration, home_weights_record, registrations,
+};
 
 use crate::peer_link::PeerSender;
 use crate::shell::RunnerEvent;
@@ -108,13 +110,13 @@
 
     fn read_registrations(&self) {
         let sent_at_ms = self.context.clock.now_ms();
-        match registrations::<Registered>(self.context.store.as_ref()) {
+        match registrations::<RegisteredInstance>(self.context.store.as_ref()) {
             Ok(entries) => {
                 let own_entry = entries
                     .iter()
                     .find(|entry| entry.record.value.incarnation == self.own);
                 let own_lease = own_entry.and_then(|entry| entry.lease);
-                let registered: Vec<Registered> = entries
+                let registered: Vec<RegisteredInstance> = entries
                     .into_iter()
                     .map(|entry| entry.record.value)
                     .collect();
@@ -131,7 +133,7 @@
     }
 
     /// Passes the addresses of all other registered instances to the peer network.
-    fn update_peer_addresses(&self, registered: &[Registered]) {
+    fn update_peer_addresses(&self, registered: &[RegisteredInstance]) {
         let others = registered
             .iter()
             .filter(|entry| entry.incarnation.instance != self.own.instance);
