--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -7,28 +7,30 @@
 use tokio::sync::oneshot;
 
 /// Load samples older than this are dropped, so a larger `load_lag_ms` has no effect.
-const HISTORY_MS: u64 = 60_000;
+const LOAD_HISTORY_MS: u64 = 60_000;
 
-/// Waiting calls in order of priority (lower runs first), then arrival.
-type Waiting = BTreeMap<(i64, u64), oneshot::Sender<()>>;
+/// WaitQueue calls in order of priority (lower runs first), then arrival.
+type WaitQueue = BTreeMap<(i64, u64), oneshot::Sender<()>>;
 
 #[derive(Debug, Default)]
-struct State {
+struct BatchState {
     running: usize,
-    arrivals: u64,
-    ids: u64,
-    waiting: Waiting,
-    history: VecDeque<(Instant, usize, usize)>,
+    last_arrival: u64,
+    last_id: u64,
+    waiting: WaitQueue,
+    load_history: VecDeque<(Instant, usize, usize)>,
 }
 
-impl State {
-    fn sample(&mut self) {
+impl BatchState {
+    fn record_load(&mut self) {
         let now = Instant::now();
-        let keep = Duration::from_millis(HISTORY_MS);
-        self.history
+        let keep = Duration::from_millis(LOAD_HISTORY_MS);
+        self.load_history
             .push_back((now, self.running, self.waiting.len()));
-        while self.history.len() > 1 && now.duration_since(self.history[1].0) > keep {
-            self.history.pop_front();
+        while self.load_history.len() > 1
+            && now.duration_since(self.load_history[1].0) > keep
+        {
+            self.load_history.pop_front();
         }
     }
 
@@ -41,7 +43,7 @@
                 break;
             }
         }
-        self.sample();
+        self.record_load();
     }
 }
 
@@ -49,43 +51,43 @@
 #[derive(Debug)]
 pub(crate) struct Batch {
     slots: usize,
-    state: Mutex<State>,
+    state: Mutex<BatchState>,
 }
 
 impl Batch {
     pub(crate) fn new(slots: usize) -> Batch {
         Batch {
             slots: slots.max(1),
-            state: Mutex::new(State::default()),
+            state: Mutex::new(BatchState::default()),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, BatchState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Waits for a slot. The slot is free again when the result is dropped.
-    pub(crate) async fn enter(&self, priority: i64) -> Slot<'_> {
-        let mut place = {
+    pub(crate) async fn acquire(&self, priority: i64) -> Slot<'_> {
+        let mut request = {
             let mut state = self.lock();
-            state.arrivals += 1;
-            let key = (priority, state.arrivals);
-            let place = match state.running < self.slots {
+            state.last_arrival += 1;
+            let key = (priority, state.last_arrival);
+            let request = match state.running < self.slots {
                 true => {
                     state.running += 1;
-                    Place::running(self)
+                    SlotRequest::running(self)
                 }
                 false => {
                     let (granted, grant) = oneshot::channel();
                     state.waiting.insert(key, granted);
-                    Place::waiting(self, key, grant)
+                    SlotRequest::waiting(self, key, grant)
                 }
             };
-            state.sample();
-            place
+            state.record_load();
+            request
         };
-        place.granted().await;
-        place.into_slot()
+        request.wait_for_grant().await;
+        request.into_slot()
     }
 
     /// Running and waiting calls as they were `lag_ms` ago.
@@ -96,18 +98,18 @@
         }
         let lag = Duration::from_millis(lag_ms);
         let sample = state
-            .history
+            .load_history
             .iter()
             .rev()
             .find(|(at, _, _)| at.elapsed() >= lag);
         sample.map_or((0, 0), |(_, running, waiting)| (*running, *waiting))
     }
 
-    /// A number for the id of an answer.
+    /// A number for the id of a response.
     pub(crate) fn next_id(&self) -> u64 {
         let mut state = self.lock();
-        state.ids += 1;
-        state.ids
+        state.last_id += 1;
+        state.last_id
     }
 
     pub(crate) fn running(&self) -> usize {
@@ -116,18 +118,18 @@
 }
 
 /// A call that waits for a slot or has one. Dropping it gives up either.
-struct Place<'a> {
+struct SlotRequest<'a> {
     batch: &'a Batch,
     wait: Option<((i64, u64), oneshot::Receiver<()>)>,
-    handed_over: bool,
+    has_slot_guard: bool,
 }
 
-impl<'a> Place<'a> {
-    fn running(batch: &'a Batch) -> Place<'a> {
-        Place {
+impl<'a> SlotRequest<'a> {
+    fn running(batch: &'a Batch) -> SlotRequest<'a> {
+        SlotRequest {
             batch,
             wait: None,
-            handed_over: false,
+            has_slot_guard: false,
         }
     }
 
@@ -135,15 +137,15 @@
         batch: &'a Batch,
         key: (i64, u64),
         grant: oneshot::Receiver<()>,
-    ) -> Place<'a> {
-        Place {
+    ) -> SlotRequest<'a> {
+        SlotRequest {
             batch,
             wait: Some((key, grant)),
-            handed_over: false,
+            has_slot_guard: false,
         }
     }
 
-    async fn granted(&mut self) {
+    async fn wait_for_grant(&mut self) {
         if let Some((_, grant)) = &mut self.wait {
             let _ = grant.await;
             self.wait = None;
@@ -151,14 +153,14 @@
     }
 
     fn into_slot(mut self) -> Slot<'a> {
-        self.handed_over = true;
+        self.has_slot_guard = true;
         Slot { batch: self.batch }
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for SlotRequest<'_> {
     fn drop(&mut self) {
-        if self.handed_over {
+        if self.has_slot_guard {
             return;
         }
         let mut state = self.batch.lock();
@@ -167,7 +169,7 @@
             None => false,
         };
         match still_waits {
-            true => state.sample(),
+            true => state.record_load(),
             false => state.release(),
         }
     }
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -15,7 +15,7 @@
 const BLOCK_TOKENS: u64 = 16;
 
 /// Events kept for `GET /cache/events`.
-const MAX_EVENTS: usize = 10_000;
+const MAX_STORED_EVENTS: usize = 10_000;
 
 type BlockHash = u64;
 
@@ -33,16 +33,16 @@
     tag: String,
     tokens: u64,
     #[serde(skip)]
-    at: Instant,
+    recorded_at: Instant,
 }
 
 /// Invariant: `order` holds each block exactly once, under its `last_used`.
 #[derive(Debug)]
 pub(crate) struct PrefixCache {
     capacity_blocks: usize,
-    uses: u64,
+    use_counter: u64,
     blocks: HashMap<BlockHash, Block>,
-    order: BTreeMap<u64, BlockHash>,
+    by_last_use: BTreeMap<u64, BlockHash>,
     events: Vec<CacheEvent>,
     next_event: u64,
 }
@@ -51,9 +51,9 @@
     pub(crate) fn new(capacity_tokens: u64) -> PrefixCache {
         PrefixCache {
             capacity_blocks: (capacity_tokens / BLOCK_TOKENS) as usize,
-            uses: 0,
+            use_counter: 0,
             blocks: HashMap::new(),
-            order: BTreeMap::new(),
+            by_last_use: BTreeMap::new(),
             events: Vec::new(),
             next_event: 1,
         }
@@ -76,44 +76,44 @@
     pub(crate) fn store(&mut self, model: &str, text: &[u8], tag: &str) {
         let hashes = block_hashes(model, text);
         hashes.iter().for_each(|hash| self.touch(*hash, Some(tag)));
-        self.publish("stored", tag, hashes.len());
+        self.record_event("stored", tag, hashes.len());
         while self.blocks.len() > self.capacity_blocks {
             self.evict_oldest();
         }
     }
 
     fn touch(&mut self, hash: BlockHash, tag: Option<&str>) {
-        self.uses += 1;
+        self.use_counter += 1;
         let block = self.blocks.entry(hash).or_default();
-        self.order.remove(&block.last_used);
-        block.last_used = self.uses;
-        self.order.insert(self.uses, hash);
+        self.by_last_use.remove(&block.last_used);
+        block.last_used = self.use_counter;
+        self.by_last_use.insert(self.use_counter, hash);
         if let Some(tag) = tag.filter(|tag| !tag.is_empty()) {
             block.tags.insert(tag.to_string());
         }
     }
 
     fn evict_oldest(&mut self) {
-        let oldest = self.order.pop_first();
+        let oldest = self.by_last_use.pop_first();
         let block = oldest.and_then(|(_, hash)| self.blocks.remove(&hash));
         for tag in block.unwrap_or_default().tags {
-            self.publish("evicted", &tag, 1);
+            self.record_event("evicted", &tag, 1);
         }
     }
 
     /// Drops the blocks that only `tag` holds. Returns their tokens.
     pub(crate) fn release(&mut self, tag: &str) -> u64 {
         let before = self.blocks.len();
-        let order = &mut self.order;
+        let by_last_use = &mut self.by_last_use;
         self.blocks.retain(|_, block| {
-            let gone = block.tags.remove(tag) && block.tags.is_empty();
-            if gone {
-                order.remove(&block.last_used);
+            let unused = block.tags.remove(tag) && block.tags.is_empty();
+            if unused {
+                by_last_use.remove(&block.last_used);
             }
-            !gone
+            !unused
         });
         let released = before - self.blocks.len();
-        self.publish("released", tag, released);
+        self.record_event("released", tag, released);
         released as u64 * BLOCK_TOKENS
     }
 
@@ -130,16 +130,16 @@
         self.blocks.len() as u64 * BLOCK_TOKENS
     }
 
-    fn publish(&mut self, kind: &'static str, tag: &str, blocks: usize) {
-        if self.events.len() >= MAX_EVENTS {
-            self.events.drain(..MAX_EVENTS / 2);
+    fn record_event(&mut self, kind: &'static str, tag: &str, blocks: usize) {
+        if self.events.len() >= MAX_STORED_EVENTS {
+            self.events.drain(..MAX_STORED_EVENTS / 2);
         }
         self.events.push(CacheEvent {
             seq: self.next_event,
             kind,
             tag: tag.to_string(),
             tokens: blocks as u64 * BLOCK_TOKENS,
-            at: Instant::now(),
+            recorded_at: Instant::now(),
         });
         self.next_event += 1;
     }
@@ -150,7 +150,7 @@
         let lag = Duration::from_millis(lag_ms);
         self.events
             .iter()
-            .filter(|event| event.seq >= from && event.at.elapsed() >= lag)
+            .filter(|event| event.seq >= from && event.recorded_at.elapsed() >= lag)
             .filter(|event| gap == 0 || event.seq % gap != 0)
             .cloned()
             .collect()
--- a/crates/standin/src/engine/chat.rs
+++ b/crates/standin/src/engine/chat.rs
@@ -1,4 +1,4 @@
-//! Chat completions: requests, the run of one call, and the two forms of the answer.
+//! Chat completions: requests, the run of one call, and the two forms of the response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,9 +10,9 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use crate::answer::{Answer, Ask};
 use crate::engine::cache::TOKEN_BYTES;
 use crate::engine::{CACHE_TAG_HEADER, EngineState};
+use crate::http::{HttpRequest, HttpResponse};
 use crate::service::CancelGuard;
 
 /// Pieces of a stream that wait for a slow client before the call stops generating.
@@ -52,7 +52,7 @@
     state: Arc<EngineState>,
     id: String,
     model: String,
-    tag: String,
+    cache_tag: String,
     prompt: Vec<u8>,
     prompt_tokens: u64,
     cached_tokens: u64,
@@ -61,35 +61,40 @@
     priority: i64,
 }
 
-pub(super) fn models(state: &EngineState) -> Answer {
+pub(super) fn list_models(state: &EngineState) -> HttpResponse {
     let data: Vec<Value> = state
         .settings
         .models
         .iter()
         .map(|id| json!({ "id": id, "object": "model", "owned_by": "standin" }))
         .collect();
-    Answer::json(StatusCode::OK, &json!({ "object": "list", "data": data }))
+    HttpResponse::json(StatusCode::OK, &json!({ "object": "list", "data": data }))
 }
 
-pub(super) async fn complete(state: &Arc<EngineState>, ask: Ask) -> Answer {
-    let request = match serde_json::from_slice::<ChatRequest>(&ask.body) {
+pub(super) async fn handle_completion(
+    state: &Arc<EngineState>,
+    http_request: HttpRequest,
+) -> HttpResponse {
+    let request = match serde_json::from_slice::<ChatRequest>(&http_request.body) {
         Ok(request) => request,
-        Err(error) => return Answer::error(StatusCode::BAD_REQUEST, &error.to_string()),
+        Err(error) => {
+            return HttpResponse::error(StatusCode::BAD_REQUEST, &error.to_string());
+        }
     };
     if !state.serves(&request.model) {
-        return Answer::error(StatusCode::NOT_FOUND, "the model does not exist");
+        return HttpResponse::error(StatusCode::NOT_FOUND, "the model does not exist");
     }
-    state.recorder.record(&ask);
-    let call = Call::new(state, &ask, &request);
+    state.recorder.record(&http_request);
+    let call = Call::new(state, &http_request, &request);
     if !request.stream {
-        return call.whole().await;
+        return call.respond_whole().await;
     }
-    let (pieces, answer) = mpsc::channel(STREAM_BUFFER);
-    tokio::spawn(call.stream_or_cancel(pieces, request.stream_options.include_usage));
-    Answer::stream("text/event-stream", answer)
+    let (chunks, response) = mpsc::channel(STREAM_BUFFER);
+    tokio::spawn(call.stream_or_cancel(chunks, request.stream_options.include_usage));
+    HttpResponse::stream("text/event-stream", response)
 }
 
-fn text_of(messages: &[Message]) -> Vec<u8> {
+fn prompt_text(messages: &[Message]) -> Vec<u8> {
     let mut text = Vec::new();
     for message in messages {
         match &message.content {
@@ -105,14 +110,18 @@
 }
 
 /// The text of the generated token at `index`.
-fn token(index: u64) -> String {
+fn token_text(index: u64) -> String {
     format!("{:03x} ", index % 0xfff)
 }
 
 impl Call {
-    fn new(state: &Arc<EngineState>, ask: &Ask, request: &ChatRequest) -> Call {
+    fn new(
+        state: &Arc<EngineState>,
+        http_request: &HttpRequest,
+        request: &ChatRequest,
+    ) -> Call {
         let settings = &state.settings;
-        let prompt = text_of(&request.messages);
+        let prompt = prompt_text(&request.messages);
         let template = settings.template_tokens * request.messages.len() as u64;
         let limit = request.max_tokens.unwrap_or(settings.answer_tokens);
         let (generated_tokens, finish_reason) = match request.ignore_eos {
@@ -123,7 +132,10 @@
             state: Arc::clone(state),
             id: format!("chatcmpl-{}", state.batch.next_id()),
             model: request.model.clone(),
-            tag: ask.header(CACHE_TAG_HEADER).unwrap_or("").to_string(),
+            cache_tag: http_request
+                .header(CACHE_TAG_HEADER)
+                .unwrap_or("")
+                .to_string(),
             prompt_tokens: prompt.len().div_ceil(TOKEN_BYTES) as u64 + template,
             prompt,
             cached_tokens: 0,
@@ -141,22 +153,22 @@
         let us = tokens * self.state.settings.prefill_us_per_token;
         tokio::time::sleep(Duration::from_micros(us)).await;
         self.state
-            .with_cache(|cache| cache.store(model, prompt, &self.tag));
+            .with_cache(|cache| cache.store(model, prompt, &self.cache_tag));
     }
 
     /// The time at which the token after one at `previous` is due.
-    fn due_after(&self, previous: Instant) -> Instant {
+    fn next_token_due(&self, previous: Instant) -> Instant {
         let settings = &self.state.settings;
         let others = self.state.batch.running().saturating_sub(1) as u64;
         let us = settings.token_us + settings.batch_slowdown_us * others;
         previous + Duration::from_micros(us)
     }
 
-    fn finish(&mut self, answer: &str) {
-        self.prompt.extend_from_slice(answer.as_bytes());
+    fn cache_conversation(&mut self, response: &str) {
+        self.prompt.extend_from_slice(response.as_bytes());
         let (model, text) = (&self.model, &self.prompt);
         self.state
-            .with_cache(|cache| cache.store(model, text, &self.tag));
+            .with_cache(|cache| cache.store(model, text, &self.cache_tag));
     }
 
     fn usage(&self) -> Value {
@@ -168,68 +180,68 @@
         })
     }
 
-    async fn whole(mut self) -> Answer {
+    async fn respond_whole(mut self) -> HttpResponse {
         let state = Arc::clone(&self.state);
         let guard = CancelGuard::new(&state.recorder);
-        let _slot = state.batch.enter(self.priority).await;
+        let _slot = state.batch.acquire(self.priority).await;
         self.prefill().await;
         let mut due = Instant::now();
         let mut content = String::new();
         for index in 0..self.generated_tokens {
-            due = self.due_after(due);
+            due = self.next_token_due(due);
             tokio::time::sleep_until(due).await;
-            content.push_str(&token(index));
+            content.push_str(&token_text(index));
         }
-        self.finish(&content);
+        self.cache_conversation(&content);
         guard.disarm();
         let message = json!({ "role": "assistant", "content": content });
-        let answer = json!({ "id": self.id, "object": "chat.completion", "created": 0,
+        let response = json!({ "id": self.id, "object": "chat.completion", "created": 0,
             "model": self.model, "usage": self.usage(), "choices": [{ "index": 0,
             "message": message, "finish_reason": self.finish_reason }] });
-        Answer::json(StatusCode::OK, &answer)
+        HttpResponse::json(StatusCode::OK, &response)
     }
 
-    async fn stream_or_cancel(self, pieces: mpsc::Sender<Bytes>, with_usage: bool) {
+    async fn stream_or_cancel(self, chunks: mpsc::Sender<Bytes>, with_usage: bool) {
         let state = Arc::clone(&self.state);
         let guard = CancelGuard::new(&state.recorder);
-        let sender = pieces.clone();
+        let sender = chunks.clone();
         tokio::select! {
             biased;
             sent = self.stream(sender, with_usage) => if sent.is_some() {
                 guard.disarm();
             },
-            _ = pieces.closed() => {}
+            _ = chunks.closed() => {}
         }
     }
 
     async fn stream(
         mut self,
-        pieces: mpsc::Sender<Bytes>,
+        chunks: mpsc::Sender<Bytes>,
         with_usage: bool,
     ) -> Option<()> {
         let state = Arc::clone(&self.state);
-        let slot = state.batch.enter(self.priority).await;
+        let slot = state.batch.acquire(self.priority).await;
         self.prefill().await;
         let mut due = Instant::now();
         let mut content = String::new();
         for index in 0..self.generated_tokens {
-            due = self.due_after(due);
+            due = self.next_token_due(due);
             tokio::time::sleep_until(due).await;
-            let text = token(index);
+            let text = token_text(index);
             let delta = json!({ "role": "assistant", "content": text });
             content.push_str(&text);
-            pieces.send(self.chunk(delta, None)).await.ok()?;
+            chunks.send(self.chunk(delta, None)).await.ok()?;
         }
-        self.finish(&content);
+        self.cache_conversation(&content);
         drop(slot);
         let last = self.chunk(json!({}), Some(self.finish_reason));
-        pieces.send(last).await.ok()?;
+        chunks.send(last).await.ok()?;
         if with_usage {
-            let mut chunk = self.frame(json!([]));
+            let mut chunk = self.chunk_value(json!([]));
             chunk["usage"] = self.usage();
-            pieces.send(event(&chunk)).await.ok()?;
+            chunks.send(sse_event(&chunk)).await.ok()?;
         }
-        pieces
+        chunks
             .send(Bytes::from_static(b"data: [DONE]\n\n"))
             .await
             .ok()
@@ -238,15 +250,15 @@
     fn chunk(&self, delta: Value, finish_reason: Option<&str>) -> Bytes {
         let choice =
             json!({ "index": 0, "delta": delta, "finish_reason": finish_reason });
-        event(&self.frame(json!([choice])))
+        sse_event(&self.chunk_value(json!([choice])))
     }
 
-    fn frame(&self, choices: Value) -> Value {
+    fn chunk_value(&self, choices: Value) -> Value {
         json!({ "id": self.id, "object": "chat.completion.chunk", "created": 0,
             "model": self.model, "choices": choices })
     }
 }
 
-fn event(value: &Value) -> Bytes {
+fn sse_event(value: &Value) -> Bytes {
     format!("data: {value}\n\n").into()
 }
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -14,20 +14,20 @@
 use hyper::{Method, StatusCode};
 use serde_json::{Value, json};
 
-use crate::answer::{Answer, Ask};
 use crate::engine::batch::Batch;
 use crate::engine::cache::PrefixCache;
 use crate::engine::models::Models;
 use crate::engine::orders::Orders;
 use crate::faults::{FaultControls, Faults};
+use crate::http::{HttpRequest, HttpResponse};
 use crate::record::{Recorder, Runs};
-use crate::server::{Answering, Handler, HttpServer};
+use crate::server::{Handler, HttpServer, ResponseFuture};
 use crate::service::RUNS_PATH;
 
 /// Header with the cache tag of a call.
 pub const CACHE_TAG_HEADER: &str = "jayreel-cache-tag";
 
-/// Settings of an engine. The default answers within milliseconds.
+/// Settings of an engine. The default responses within milliseconds.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EngineSettings {
     /// Models served. Empty means that any name is accepted.
@@ -42,7 +42,7 @@
     pub batch_slowdown_us: u64,
     /// Size of the prefix cache in tokens.
     pub cache_tokens: u64,
-    /// Tokens that an answer has unless `max_tokens` is lower. A request with
+    /// Tokens that a response has unless `max_tokens` is lower. A request with
     /// `ignore_eos` gets exactly `max_tokens`.
     pub answer_tokens: u64,
     /// Prompt tokens added for each message by the chat template.
@@ -50,7 +50,7 @@
     /// Whether orders with an old fencing number are rejected.
     pub checks_fencing: bool,
     /// Whether it reports its models at `GET /models` and loads others by order. It then
-    /// answers only calls for what is loaded.
+    /// responses only calls for what is loaded.
     pub reports_models: bool,
     /// Time of a load, in milliseconds.
     pub load_ms: u64,
@@ -137,7 +137,7 @@
 
     /// Fencing numbers and orders that were carried out, in the order of their arrival.
     pub fn orders(&self) -> Vec<(u64, Value)> {
-        self.state.with_orders(|orders| orders.carried_out())
+        self.state.with_orders(|orders| orders.applied())
     }
 
     /// Closes all connections and waits for the thread.
@@ -168,27 +168,27 @@
             .unwrap_or_default()
     }
 
-    fn load(&self) -> Answer {
+    fn load(&self) -> HttpResponse {
         let (running, waiting) = self.batch.load(self.faults().load_lag_ms);
         let load = json!({ "running": running, "waiting": waiting,
             "slots": self.settings.slots });
-        Answer::json(StatusCode::OK, &load)
+        HttpResponse::json(StatusCode::OK, &load)
     }
 
-    fn cache(&self) -> Answer {
+    fn cache(&self) -> HttpResponse {
         let value = self.with_cache(|cache| {
             json!({ "tags": cache.tags(), "used_tokens": cache.used_tokens(),
                 "capacity_tokens": self.settings.cache_tokens })
         });
-        Answer::json(StatusCode::OK, &value)
+        HttpResponse::json(StatusCode::OK, &value)
     }
 
-    fn release(&self, tag: &str) -> Answer {
+    fn release(&self, tag: &str) -> HttpResponse {
         let released = self.with_cache(|cache| cache.release(tag));
-        Answer::json(StatusCode::OK, &json!({ "released_tokens": released }))
+        HttpResponse::json(StatusCode::OK, &json!({ "released_tokens": released }))
     }
 
-    fn cache_events(&self, query: &str) -> Answer {
+    fn cache_events(&self, query: &str) -> HttpResponse {
         let from = query
             .strip_prefix("from=")
             .and_then(|text| text.parse().ok())
@@ -197,12 +197,12 @@
         let events = self.with_cache(|cache| {
             cache.events(from, faults.cache_event_lag_ms, faults.cache_event_gap)
         });
-        Answer::json(StatusCode::OK, &json!({ "events": events }))
+        HttpResponse::json(StatusCode::OK, &json!({ "events": events }))
     }
 
-    fn orders(&self, ask: &Ask) -> Answer {
-        self.with_orders(|orders| match ask.method {
-            Method::POST => orders.submit(&ask.body),
+    fn orders(&self, request: &HttpRequest) -> HttpResponse {
+        self.with_orders(|orders| match request.method {
+            Method::POST => orders.submit(&request.body),
             _ => orders.list(),
         })
     }
@@ -212,13 +212,13 @@
         action(&mut orders)
     }
 
-    fn models(&self) -> Answer {
+    fn models(&self) -> HttpResponse {
         match self.settings.reports_models {
             true => {
                 let report = self.with_orders(|orders| orders.models());
-                Answer::json(StatusCode::OK, &report)
+                HttpResponse::json(StatusCode::OK, &report)
             }
-            false => Answer::error(StatusCode::NOT_FOUND, "not found"),
+            false => HttpResponse::error(StatusCode::NOT_FOUND, "not found"),
         }
     }
 
@@ -235,23 +235,25 @@
 struct EngineHandler(Arc<EngineState>);
 
 impl Handler for EngineHandler {
-    fn answer(&self, ask: Ask) -> Answering<'_> {
-        Box::pin(route(&self.0, ask))
+    fn handle(&self, request: HttpRequest) -> ResponseFuture<'_> {
+        Box::pin(route(&self.0, request))
     }
 }
 
-async fn route(state: &Arc<EngineState>, ask: Ask) -> Answer {
-    let tag = ask.path.strip_prefix("/cache/").map(str::to_string);
-    match (&ask.method, ask.path.as_str()) {
-        (&Method::POST, "/v1/chat/completions") => chat::complete(state, ask).await,
-        (&Method::GET, "/v1/models") => chat::models(state),
+async fn route(state: &Arc<EngineState>, request: HttpRequest) -> HttpResponse {
+    let tag = request.path.strip_prefix("/cache/").map(str::to_string);
+    match (&request.method, request.path.as_str()) {
+        (&Method::POST, "/v1/chat/completions") => {
+            chat::handle_completion(state, request).await
+        }
+        (&Method::GET, "/v1/models") => chat::list_models(state),
         (&Method::GET, "/load") => state.load(),
         (&Method::GET, "/models") => state.models(),
         (&Method::GET, "/cache") => state.cache(),
-        (&Method::GET, "/cache/events") => state.cache_events(&ask.query),
+        (&Method::GET, "/cache/events") => state.cache_events(&request.query),
         (&Method::DELETE, _) if tag.is_some() => state.release(&tag.unwrap_or_default()),
-        (_, "/orders") => state.orders(&ask),
-        (_, RUNS_PATH) => Answer::json(StatusCode::OK, &state.recorder.runs()),
-        _ => Answer::error(StatusCode::NOT_FOUND, "not found"),
+        (_, "/orders") => state.orders(&request),
+        (_, RUNS_PATH) => HttpResponse::json(StatusCode::OK, &state.recorder.runs()),
+        _ => HttpResponse::error(StatusCode::NOT_FOUND, "not found"),
     }
 }
--- a/crates/standin/src/engine/models.rs
+++ b/crates/standin/src/engine/models.rs
@@ -8,7 +8,7 @@
 /// An order about weights.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
-enum WeightsOrder {
+enum ModelOrder {
     LoadAdapter {
         model: String,
         adapter: String,
@@ -61,21 +61,21 @@
     }
 
     /// Carries out an order. Other orders than those about weights have no effect.
-    pub(super) fn carry_out(&mut self, order: &Value) {
-        let Ok(order) = WeightsOrder::deserialize(order) else {
+    pub(super) fn apply(&mut self, order: &Value) {
+        let Ok(order) = ModelOrder::deserialize(order) else {
             return;
         };
         match order {
-            WeightsOrder::LoadAdapter { model, adapter } => {
+            ModelOrder::LoadAdapter { model, adapter } => {
                 self.load(adapter_of(model, adapter));
             }
-            WeightsOrder::LoadModel { model, version } => {
+            ModelOrder::LoadModel { model, version } => {
                 self.load(version_of(model, version));
             }
-            WeightsOrder::UnloadAdapter { model, adapter } => {
+            ModelOrder::UnloadAdapter { model, adapter } => {
                 self.unload(&adapter_of(model, adapter));
             }
-            WeightsOrder::UnloadModel { model, version } => {
+            ModelOrder::UnloadModel { model, version } => {
                 self.unload(&version_of(model, version));
             }
         }
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use crate::answer::Answer;
 use crate::engine::models::Models;
+use crate::http::HttpResponse;
 
 /// One order as sent to `POST /orders`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -21,9 +21,9 @@
 #[derive(Debug)]
 pub(crate) struct Orders {
     checks_fencing: bool,
-    newest: u64,
+    newest_fencing: u64,
     /// Number of the order that arrived last.
-    last: u64,
+    last_fencing: u64,
     applied: Vec<Order>,
     models: Models,
 }
@@ -32,32 +32,37 @@
     pub(super) fn new(checks_fencing: bool, models: Models) -> Orders {
         Orders {
             checks_fencing,
-            newest: 0,
-            last: 0,
+            newest_fencing: 0,
+            last_fencing: 0,
             applied: Vec::new(),
             models,
         }
     }
 
-    pub(crate) fn submit(&mut self, body: &[u8]) -> Answer {
+    pub(crate) fn submit(&mut self, body: &[u8]) -> HttpResponse {
         match serde_json::from_slice::<Order>(body) {
-            Err(error) => Answer::error(StatusCode::BAD_REQUEST, &error.to_string()),
-            Ok(order) if self.checks_fencing && order.fencing < self.newest => {
-                Answer::error(StatusCode::CONFLICT, "fencing number is too old")
+            Err(error) => {
+                HttpResponse::error(StatusCode::BAD_REQUEST, &error.to_string())
+            }
+            Ok(order) if self.checks_fencing && order.fencing < self.newest_fencing => {
+                HttpResponse::error(StatusCode::CONFLICT, "fencing number is too old")
             }
             Ok(order) => {
-                self.newest = self.newest.max(order.fencing);
-                self.last = order.fencing;
-                self.models.carry_out(&order.order);
+                self.newest_fencing = self.newest_fencing.max(order.fencing);
+                self.last_fencing = order.fencing;
+                self.models.apply(&order.order);
                 self.applied.push(order);
-                Answer::json(StatusCode::OK, &json!({ "newest": self.newest }))
+                HttpResponse::json(
+                    StatusCode::OK,
+                    &json!({ "newest": self.newest_fencing }),
+                )
             }
         }
     }
 
     /// The report of models.
     pub(super) fn models(&self) -> Value {
-        self.models.report(self.last)
+        self.models.report(self.last_fencing)
     }
 
     /// Whether calls can name this model or adapter.
@@ -66,15 +71,15 @@
     }
 
     /// Numbers and contents of the orders, in the order of their arrival.
-    pub(super) fn carried_out(&self) -> Vec<(u64, Value)> {
+    pub(super) fn applied(&self) -> Vec<(u64, Value)> {
         let orders = self.applied.iter();
         orders
             .map(|order| (order.fencing, order.order.clone()))
             .collect()
     }
 
-    pub(crate) fn list(&self) -> Answer {
-        let value = json!({ "newest": self.newest, "applied": self.applied });
-        Answer::json(StatusCode::OK, &value)
+    pub(crate) fn list(&self) -> HttpResponse {
+        let value = json!({ "newest": self.newest_fencing, "applied": self.applied });
+        HttpResponse::json(StatusCode::OK, &value)
     }
 }
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -1,4 +1,8 @@
-//! Fault injection controls, shared by all stand-in servers.
+//! Fault injection, shared by all stand-in servers.
+//!
+//! Faults are set through [`FaultControls`] in the same process, or over HTTP at
+//! [`crate::server::FAULTS_PATH`]. [`crate::server`] applies the faults of connections
+//! and requests; the engine applies those of its load and cache reports.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -6,51 +10,58 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How a server is down.
+/// Whether a server is down, and what a client then sees.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Down {
-    /// It is up.
+    /// The server is up.
     #[default]
     No,
-    /// Accepts connections and closes them without an answer, open ones included. The
-    /// paths under `/standin/` keep working.
+    /// Connections are accepted, but closed without a response; open ones are closed as
+    /// well. Requests to paths under `/standin/` are still served.
     Close,
-    /// Refuses connections and closes open ones. The control path is unreachable then,
-    /// so set `down_for_ms` when the controls are used over HTTP.
+    /// New connections are refused and open ones are closed. [`Faults`] cannot be changed
+    /// over HTTP in this state, so a client that sets it over HTTP must also set
+    /// `down_for_ms`.
     Refuse,
 }
 
-/// The faults in force. The default is none.
+/// The faults that a server injects. The default is none.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Whether and how the server is down.
+    /// Whether the server is down, and what a client then sees.
     pub down: Down,
-    /// The server is up again after this time. 0 means until the faults are replaced.
+    /// Time after which the server is up again, in milliseconds since the faults were
+    /// set. 0 means that it stays down until the faults are replaced.
     pub down_for_ms: u64,
-    /// Delay before each request is handled, in milliseconds.
+    /// Delay before each request is read and handled, in milliseconds.
     pub slow_ms: u64,
-    /// This many requests are carried out, and then the connection breaks without an
-    /// answer.
+    /// Number of requests that are handled, but whose connection is then closed without a
+    /// response. Counts down to 0.
     pub lose_answers: u64,
-    /// This many requests break their connection before they are carried out.
+    /// Number of requests whose connection is closed before they are handled. Counts
+    /// down to 0.
     pub lose_requests: u64,
-    /// Lost requests are carried out this long after the break, in milliseconds. 0 means
-    /// never.
+    /// Delay after which the requests of `lose_requests` are handled nevertheless, in
+    /// milliseconds after their connection was closed. 0 means that they are never
+    /// handled.
     pub late_ms: u64,
-    /// Only requests whose path starts with this are lost or lose their answer. Empty
-    /// means all.
+    /// Path prefix that limits `lose_requests` and `lose_answers` to matching requests.
+    /// Empty matches all.
     pub lose_path: String,
-    /// Connections that are used while this is set stay silent for good.
+    /// Requests get no response and response streams stop. Their connections stay open
+    /// but send nothing more, even after this fault is cleared.
     pub freeze: bool,
-    /// Connections open at the time of this order stay silent for good; new ones work.
+    /// Connections that are open when the faults are set stay open but send nothing more,
+    /// even after this fault is cleared. Connections opened later work.
     pub silence_open_connections: bool,
-    /// Reports of load show the state of this many milliseconds ago.
+    /// Age of the load that the engine reports at `GET /load`, in milliseconds.
     pub load_lag_ms: u64,
-    /// Every n-th cache event is missing from the reports. 0 means none.
+    /// The engine omits cache events whose sequence number is a multiple of this. 0 means
+    /// that it omits none.
     pub cache_event_gap: u64,
-    /// Cache events are published after this many milliseconds.
+    /// Delay before the engine reports a cache event, in milliseconds.
     pub cache_event_lag_ms: u64,
 }
 
@@ -59,9 +70,11 @@
     set_at: Instant,
 }
 
-/// Sets and reads the faults of one server. Shared by its threads.
+/// Sets and reads the faults of one server. Shared by the server's thread and its owner.
 pub struct FaultControls {
     state: Mutex<State>,
+    /// Increased by `silence_open_connections`. Connections of an older generation are
+    /// silenced.
     generation: AtomicU64,
 }
 
@@ -80,7 +93,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Replaces all faults.
+    /// Replaces all faults and restarts the time of `down_for_ms`.
     pub fn set(&self, faults: Faults) {
         let mut state = self.lock();
         if faults.silence_open_connections {
@@ -90,26 +103,27 @@
         state.set_at = Instant::now();
     }
 
-    /// Ends all faults. Connections that were silenced stay silent.
+    /// Clears all faults. Connections that were silenced stay so.
     pub fn clear(&self) {
         self.set(Faults::default());
     }
 
-    /// The faults in force.
+    /// The current faults, with the remaining numbers of requests to lose. `down` is as
+    /// set, also when `down_for_ms` has passed; see [`Self::down`].
     pub fn get(&self) -> Faults {
         self.lock().faults.clone()
     }
 
-    /// How the server is down now.
+    /// Whether the server is down now, with `down_for_ms` taken into account.
     pub fn down(&self) -> Down {
         let state = self.lock();
-        let term = Duration::from_millis(state.faults.down_for_ms);
-        let over = !term.is_zero() && state.set_at.elapsed() >= term;
-        if over { Down::No } else { state.faults.down }
+        let down_for = Duration::from_millis(state.faults.down_for_ms);
+        let expired = !down_for.is_zero() && state.set_at.elapsed() >= down_for;
+        if expired { Down::No } else { state.faults.down }
     }
 
-    /// Whether this request must break its connection before it is carried out, and
-    /// after how many milliseconds it is carried out nevertheless.
+    /// Takes one of `lose_requests` for a request to `path`. Returns `None` if the request
+    /// is to be handled normally, else the `late_ms` of the lost request.
     pub(crate) fn take_lost_request(&self, path: &str) -> Option<u64> {
         let mut state = self.lock();
         let faults = &mut state.faults;
@@ -118,7 +132,8 @@
         applies.then_some(faults.late_ms)
     }
 
-    /// Whether this request must lose its answer.
+    /// Takes one of `lose_answers` for a request to `path`. Returns whether the response
+    /// is lost.
     pub(crate) fn take_lost_answer(&self, path: &str) -> bool {
         let mut state = self.lock();
         let faults = &mut state.faults;
@@ -127,43 +142,47 @@
         applies
     }
 
-    pub(crate) fn connection(self: &Arc<FaultControls>) -> Arc<Silence> {
-        Arc::new(Silence {
+    /// The fault state of a connection that is opened now.
+    pub(crate) fn new_connection(self: &Arc<FaultControls>) -> Arc<ConnectionFaults> {
+        Arc::new(ConnectionFaults {
             generation: self.generation.load(Ordering::SeqCst),
             silenced: AtomicBool::new(false),
-            controlling: AtomicBool::new(false),
+            is_control: AtomicBool::new(false),
             controls: Arc::clone(self),
         })
     }
 }
 
-/// Whether one connection has gone silent. Once silent, it stays so.
-pub(crate) struct Silence {
+/// The fault state of one connection. Once silenced, a connection stays so.
+pub(crate) struct ConnectionFaults {
+    /// The generation of [`FaultControls`] when the connection was opened.
     generation: u64,
     silenced: AtomicBool,
-    controlling: AtomicBool,
+    /// Whether the connection has carried a request to a path under `/standin/`.
+    is_control: AtomicBool,
     controls: Arc<FaultControls>,
 }
 
-impl Silence {
-    /// Exempts the connection from being broken, so that an answer to an order to go
-    /// down arrives.
-    pub(crate) fn set_controlling(&self) {
-        self.controlling.store(true, Ordering::SeqCst);
+impl ConnectionFaults {
+    /// Exempts the connection from being closed while the server is down, so that the
+    /// response to the request that takes the server down still arrives.
+    pub(crate) fn mark_control(&self) {
+        self.is_control.store(true, Ordering::SeqCst);
     }
 
-    pub(crate) fn is_controlling(&self) -> bool {
-        self.controlling.load(Ordering::SeqCst)
+    pub(crate) fn is_control(&self) -> bool {
+        self.is_control.load(Ordering::SeqCst)
     }
 
-    pub(crate) fn is_silent(&self) -> bool {
-        let old = self.generation != self.controls.generation.load(Ordering::SeqCst);
-        let silent = old
+    /// Whether the connection must send nothing more.
+    pub(crate) fn is_silenced(&self) -> bool {
+        let is_older = self.generation != self.controls.generation.load(Ordering::SeqCst);
+        let silenced = is_older
             || self.silenced.load(Ordering::SeqCst)
             || self.controls.lock().faults.freeze;
-        if silent {
+        if silenced {
             self.silenced.store(true, Ordering::SeqCst);
         }
-        silent
+        silenced
     }
 }
--- a/crates/standin/src/gateway.rs
+++ b/crates/standin/src/gateway.rs
@@ -1,5 +1,9 @@
-//! A stand-in for the store: the JSON gateway of the etcd v3 API over a
+//! A stand-in for the etcd store: the JSON gateway of the etcd v3 API over a
 //! [`MemoryStore`].
+//!
+//! Implements only the part of the API that jayreel uses: ranges of a single key or a
+//! prefix, puts, transactions that compare the `mod_revision`, compaction, leases and
+//! watches. Other requests are rejected with an error.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,21 +17,25 @@
 use serde_json::{Value, json};
 use tokio::sync::mpsc;
 
-use crate::answer::{Answer, Ask};
 use crate::faults::FaultControls;
+use crate::http::{HttpRequest, HttpResponse};
 use crate::record::{Recorder, Runs};
-use crate::server::{Answering, Handler, HttpServer};
+use crate::server::{Handler, HttpServer, ResponseFuture};
 use crate::service::RUNS_PATH;
 use crate::wire;
 
-/// How often an open watch looks for changes.
-const WATCH_CHECK_MS: u64 = 5;
+/// Interval at which an open watch polls the store for changes.
+const WATCH_POLL_INTERVAL_MS: u64 = 5;
 
-/// gRPC status codes used by the gateway in its errors.
-const NOT_FOUND: u32 = 5;
-const INVALID_ARGUMENT: u32 = 3;
+/// The gRPC status code `NOT_FOUND`, as it appears in the JSON errors of the gateway.
+const GRPC_NOT_FOUND: u32 = 5;
 
-/// A running store gateway.
+/// The gRPC status code `INVALID_ARGUMENT`, as it appears in the JSON errors of the
+/// gateway.
+const GRPC_INVALID_ARGUMENT: u32 = 3;
+
+/// A running etcd gateway. Its clients over HTTP and the owner of [`Self::store`] see the
+/// same state.
 pub struct StoreGateway {
     server: HttpServer,
     store: MemoryStore,
@@ -53,27 +61,27 @@
         })
     }
 
-    /// The bound address.
+    /// The bound address, with the port that the system chose.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// The fault controls.
+    /// Sets the faults that this server injects.
     pub fn faults(&self) -> &Arc<FaultControls> {
         self.server.faults()
     }
 
-    /// The served state, also while the gateway is down.
+    /// The served store. It can be read and changed also while the gateway is down.
     pub fn store(&self) -> &MemoryStore {
         &self.store
     }
 
-    /// Requests carried out so far, by path only.
+    /// The requests handled so far. Only [`Runs::paths`] is filled.
     pub fn runs(&self) -> Runs {
         self.recorder.runs()
     }
 
-    /// Closes all connections and waits for the thread.
+    /// Closes all connections and waits for the server thread to end.
     pub fn close(self) {
         self.server.close();
     }
@@ -85,55 +93,60 @@
 }
 
 impl Handler for GatewayHandler {
-    fn answer(&self, ask: Ask) -> Answering<'_> {
-        if ask.path == RUNS_PATH {
-            let answer = Answer::json(StatusCode::OK, &self.recorder.runs());
-            return Box::pin(async move { answer });
+    fn handle(&self, request: HttpRequest) -> ResponseFuture<'_> {
+        if request.path == RUNS_PATH {
+            let response = HttpResponse::json(StatusCode::OK, &self.recorder.runs());
+            return Box::pin(async move { response });
         }
-        self.recorder.record_path(&ask);
-        let answer = self.route(&ask).unwrap_or_else(|error| refused(&error));
-        Box::pin(async move { answer })
+        self.recorder.record_path(&request);
+        let response = self
+            .route(&request)
+            .unwrap_or_else(|error| error_response(&error));
+        Box::pin(async move { response })
     }
 }
 
-fn refused(error: &StoreError) -> Answer {
+/// The JSON error of the etcd gateway for a store error.
+fn error_response(error: &StoreError) -> HttpResponse {
     let message = match error {
-        StoreError::Rejected(why) => format!("etcdserver: {why}"),
+        StoreError::Rejected(reason) => format!("etcdserver: {reason}"),
         other => other.to_string(),
     };
     let (status, code) = match message.contains("lease not found") {
-        true => (StatusCode::NOT_FOUND, NOT_FOUND),
-        false => (StatusCode::BAD_REQUEST, INVALID_ARGUMENT),
+        true => (StatusCode::NOT_FOUND, GRPC_NOT_FOUND),
+        false => (StatusCode::BAD_REQUEST, GRPC_INVALID_ARGUMENT),
     };
-    Answer::json(
+    HttpResponse::json(
         status,
         &json!({ "error": message, "code": code, "message": message }),
     )
 }
 
-fn parse<T: DeserializeOwned>(ask: &Ask) -> Result<T, StoreError> {
-    serde_json::from_slice(&ask.body)
+fn parse<T: DeserializeOwned>(request: &HttpRequest) -> Result<T, StoreError> {
+    serde_json::from_slice(&request.body)
         .map_err(|error| StoreError::Rejected(error.to_string()))
 }
 
 impl GatewayHandler {
-    fn route(&self, ask: &Ask) -> Result<Answer, StoreError> {
-        if ask.method != Method::POST {
-            let why = "method not allowed";
-            return Ok(Answer::error(StatusCode::METHOD_NOT_ALLOWED, why));
+    fn route(&self, request: &HttpRequest) -> Result<HttpResponse, StoreError> {
+        if request.method != Method::POST {
+            let reason = "method not allowed";
+            return Ok(HttpResponse::error(StatusCode::METHOD_NOT_ALLOWED, reason));
         }
-        let value = match ask.path.as_str() {
-            "/v3/kv/range" => self.range(&parse(ask)?)?,
-            "/v3/kv/put" => self.put(&parse(ask)?)?,
-            "/v3/kv/txn" => self.txn(&parse(ask)?)?,
-            "/v3/kv/compaction" => self.compact(&parse(ask)?),
-            "/v3/lease/grant" => self.grant(&parse(ask)?),
-            "/v3/lease/keepalive" => self.keep_alive(&parse(ask)?),
-            "/v3/lease/revoke" | "/v3/kv/lease/revoke" => self.revoke(&parse(ask)?)?,
-            "/v3/watch" => return self.watch(&parse(ask)?),
-            _ => return Ok(Answer::error(StatusCode::NOT_FOUND, "not found")),
+        let value = match request.path.as_str() {
+            "/v3/kv/range" => self.range(&parse(request)?)?,
+            "/v3/kv/put" => self.put(&parse(request)?)?,
+            "/v3/kv/txn" => self.txn(&parse(request)?)?,
+            "/v3/kv/compaction" => self.compact(&parse(request)?),
+            "/v3/lease/grant" => self.grant(&parse(request)?),
+            "/v3/lease/keepalive" => self.keep_alive(&parse(request)?),
+            "/v3/lease/revoke" | "/v3/kv/lease/revoke" => {
+                self.revoke(&parse(request)?)?
+            }
+            "/v3/watch" => return self.watch(&parse(request)?),
+            _ => return Ok(HttpResponse::error(StatusCode::NOT_FOUND, "not found")),
         };
-        Ok(Answer::json(StatusCode::OK, &value))
+        Ok(HttpResponse::json(StatusCode::OK, &value))
     }
 
     fn range(&self, request: &wire::RangeRequest) -> Result<Value, StoreError> {
@@ -160,23 +173,23 @@
             .iter()
             .map(|entry| wire::entry(entry, request.keys_only))
             .collect();
-        let mut answer = json!({ "header": wire::header(range.revision) });
+        let mut response = json!({ "header": wire::header(range.revision) });
         if count > 0 {
-            answer["kvs"] = kvs.into();
-            answer["count"] = count.to_string().into();
+            response["kvs"] = kvs.into();
+            response["count"] = count.to_string().into();
         }
-        Ok(answer)
+        Ok(response)
     }
 
     fn commit(&self, transaction: Transaction) -> Result<Value, StoreError> {
         let commit = self
             .store
             .with(|keyspace, _| keyspace.commit(&transaction))?;
-        let mut answer = json!({ "header": wire::header(commit.revision) });
+        let mut response = json!({ "header": wire::header(commit.revision) });
         if commit.succeeded {
-            answer["succeeded"] = true.into();
+            response["succeeded"] = true.into();
         }
-        Ok(answer)
+        Ok(response)
     }
 
     fn put(&self, request: &wire::PutRequest) -> Result<Value, StoreError> {
@@ -184,14 +197,14 @@
             conditions: Vec::new(),
             writes: vec![wire::put(request)?],
         };
-        let answer = self.commit(transaction)?;
-        Ok(json!({ "header": answer["header"] }))
+        let response = self.commit(transaction)?;
+        Ok(json!({ "header": response["header"] }))
     }
 
     fn txn(&self, request: &wire::TxnRequest) -> Result<Value, StoreError> {
         if !request.failure.is_empty() {
-            let why = "failure operations are not supported";
-            return Err(StoreError::Rejected(why.into()));
+            let reason = "failure operations are not supported";
+            return Err(StoreError::Rejected(reason.into()));
         }
         let conditions: Result<Vec<Condition>, StoreError> =
             request.compare.iter().map(wire::condition).collect();
@@ -206,7 +219,7 @@
     fn compact(&self, request: &wire::CompactRequest) -> Value {
         self.store.compact(request.revision as u64);
         self.store
-            .with(|k, _| json!({ "header": wire::header(k.revision()) }))
+            .with(|keyspace, _| json!({ "header": wire::header(keyspace.revision()) }))
     }
 
     fn grant(&self, request: &wire::LeaseRequest) -> Value {
@@ -233,72 +246,77 @@
     fn revoke(&self, request: &wire::LeaseRequest) -> Result<Value, StoreError> {
         self.store.with(|keyspace, _| {
             if !keyspace.revoke_lease(LeaseId(request.id)) {
-                let why = "requested lease not found";
-                return Err(StoreError::Rejected(why.into()));
+                let reason = "requested lease not found";
+                return Err(StoreError::Rejected(reason.into()));
             }
             Ok(json!({ "header": wire::header(keyspace.revision()) }))
         })
     }
 
-    fn watch(&self, request: &wire::WatchRequest) -> Result<Answer, StoreError> {
+    fn watch(&self, request: &wire::WatchRequest) -> Result<HttpResponse, StoreError> {
         let create = &request.create_request;
-        let prefix = wire::key(&create.key)?;
-        let is_prefix = wire::is_prefix_end(&prefix, &wire::bytes(&create.range_end)?);
+        let key = wire::key(&create.key)?;
+        let is_prefix = wire::is_prefix_end(&key, &wire::bytes(&create.range_end)?);
         let current = self.store.with(|keyspace, _| keyspace.revision());
-        let from = match create.start_revision {
+        let next_revision = match create.start_revision {
             0 => current + 1,
             start => start as u64,
         };
         let watcher = Watcher {
             store: self.store.clone(),
-            key: prefix,
+            key,
             is_prefix,
-            from,
+            next_revision,
         };
-        let (pieces, answer) = mpsc::channel(16);
-        tokio::spawn(watcher.run(pieces));
-        Ok(Answer::stream("application/json", answer))
+        let (sender, chunks) = mpsc::channel(16);
+        tokio::spawn(watcher.run(sender));
+        Ok(HttpResponse::stream("application/json", chunks))
     }
 }
 
+/// One open watch of a key or a prefix.
 struct Watcher {
     store: MemoryStore,
     key: String,
     is_prefix: bool,
-    from: u64,
+    /// The first revision whose changes have not been sent yet.
+    next_revision: u64,
 }
 
 impl Watcher {
-    async fn run(mut self, pieces: mpsc::Sender<Bytes>) {
+    /// Sends the results of the watch, one JSON object a line, until the client closes
+    /// the connection or the watch is cancelled by a compaction.
+    async fn run(mut self, sender: mpsc::Sender<Bytes>) {
         let revision = self.store.with(|keyspace, _| keyspace.revision());
         let created = json!({ "header": wire::header(revision), "created": true });
         let mut next = Some((created, false));
         loop {
             if let Some((result, last)) = next.take() {
                 let line = format!("{}\n", json!({ "result": result }));
-                if pieces.send(line.into()).await.is_err() || last {
+                if sender.send(line.into()).await.is_err() || last {
                     return;
                 }
             }
             tokio::select! {
-                _ = pieces.closed() => return,
-                _ = tokio::time::sleep(Duration::from_millis(WATCH_CHECK_MS)) => {}
+                _ = sender.closed() => return,
+                _ = tokio::time::sleep(Duration::from_millis(WATCH_POLL_INTERVAL_MS)) => {}
             }
             next = self.poll();
         }
     }
 
-    /// The next result to send, and whether it ends the watch.
+    /// The next result to send, and whether it ends the watch. `None` if nothing has
+    /// changed. The watch ends if its next revision has been compacted.
     fn poll(&mut self) -> Option<(Value, bool)> {
         self.store.with(|keyspace, _| {
             let header = wire::header(keyspace.revision());
-            let Ok(changes) = keyspace.changes(&self.key, self.from) else {
+            let Ok(changes) = keyspace.changes(&self.key, self.next_revision) else {
                 let compacted = keyspace.compacted().to_string();
                 let result = json!({ "header": header, "canceled": true,
                     "compact_revision": compacted });
                 return Some((result, true));
             };
-            self.from = keyspace.revision() + 1;
+            self.next_revision = keyspace.revision() + 1;
             let events: Vec<Value> = changes
                 .iter()
                 .filter(|change| self.is_prefix || change.key() == self.key)
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,13 +1,15 @@
-//! Stand-ins for the systems that jayreel talks to, with fault injection.
+//! Test servers that replace the systems jayreel talks to, with fault injection.
 //!
-//! Each server runs on one thread of its own, in any process: [`StoreGateway`] speaks
-//! the JSON gateway of the etcd v3 API, [`Engine`] the chat completions API, and
-//! [`PlainService`] answers any request and counts it. None of this is shipped.
+//! Each server runs its own thread and can be embedded in any process:
+//! [`StoreGateway`] implements the JSON gateway of the etcd v3 API, [`Engine`] the chat
+//! completions API, and [`PlainService`] echoes any request. All of them count the
+//! requests that they handle. Tests, benchmarks and `jayreel dev` use these servers; they
+//! are not meant for production.
 
-pub mod answer;
 pub mod engine;
 pub mod faults;
 pub mod gateway;
+pub mod http;
 pub mod record;
 pub mod server;
 pub mod service;
--- a/crates/standin/src/record.rs
+++ b/crates/standin/src/record.rs
@@ -1,4 +1,6 @@
-//! What a stand-in has been asked: counts by request tag, and the headers seen.
+//! Records the requests that a stand-in server handled: counts by request tag and by
+//! path, and the headers seen. Tests compare these with what they sent, for example to
+//! find requests that ran twice.
 
 use std::collections::BTreeMap;
 use std::collections::hash_map::DefaultHasher;
@@ -7,34 +9,36 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::answer::Ask;
+use crate::http::HttpRequest;
 
-/// Header that names a request in the counts.
+/// Request header whose value is the key of the request in [`Runs::counts`].
 pub const TAG_HEADER: &str = "x-request-tag";
 
-/// Longest body that is its own tag, in bytes. Longer ones are shortened, since bodies
-/// with the history of a program would fill the memory.
+/// Longest body, in bytes, that is used whole as the key in [`Runs::counts`]. Longer ones
+/// are shortened, since bodies with the history of a program would fill the memory.
 const MAX_BODY_TAG_BYTES: usize = 1_024;
 
-/// Values kept for each header.
+/// Number of distinct values kept for each header in [`Runs::headers`].
 const MAX_HEADER_VALUES: usize = 1_000;
 
-/// Requests that ran, as told at `GET /standin/runs`.
+/// The recorded requests, as reported by `GET /standin/runs`.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Runs {
-    /// How often each request ran, by its `X-Request-Tag` header, else by its body. A
-    /// body above 1,024 bytes counts under its first bytes and a hash of all.
+    /// Number of requests by the value of their `X-Request-Tag` header, or by their body
+    /// if they have none. The key of a body above 1,024 bytes is its first 1,024 bytes, a
+    /// `#` and a hash of the whole body.
     pub counts: BTreeMap<String, u64>,
-    /// The first 1,000 different values of each header, by lower-case name.
+    /// The first 1,000 distinct values of each header, by lower-case header name.
     pub headers: BTreeMap<String, Vec<String>>,
-    /// Requests by method and path.
+    /// Number of requests by method and path, such as `POST /v3/kv/txn`.
     pub paths: BTreeMap<String, u64>,
-    /// Requests whose connection closed before the answer was complete.
+    /// Number of requests whose handling was cancelled, because the client closed the
+    /// connection before the response was complete.
     pub cancelled: u64,
 }
 
-/// Records requests.
+/// Collects [`Runs`] for one server.
 #[derive(Debug, Default)]
 pub struct Recorder {
     runs: Mutex<Runs>,
@@ -45,12 +49,12 @@
         self.runs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts one request.
-    pub fn record(&self, ask: &Ask) {
-        self.record_path(ask);
+    /// Counts a request by tag or body and by path, and keeps its headers.
+    pub fn record(&self, request: &HttpRequest) {
+        self.record_path(request);
         let mut runs = self.lock();
-        *runs.counts.entry(tag_of(ask)).or_default() += 1;
-        for (name, value) in &ask.headers {
+        *runs.counts.entry(count_key(request)).or_default() += 1;
+        for (name, value) in &request.headers {
             let value = String::from_utf8_lossy(value.as_bytes()).into_owned();
             let seen = runs.headers.entry(name.to_string()).or_default();
             if seen.len() < MAX_HEADER_VALUES && !seen.contains(&value) {
@@ -59,13 +63,13 @@
         }
     }
 
-    /// Counts one request by its method and path only.
-    pub fn record_path(&self, ask: &Ask) {
-        let path = format!("{} {}", ask.method, ask.path);
+    /// Counts a request by its method and path only.
+    pub fn record_path(&self, request: &HttpRequest) {
+        let path = format!("{} {}", request.method, request.path);
         *self.lock().paths.entry(path).or_default() += 1;
     }
 
-    /// Counts a request that its client gave up.
+    /// Counts a request whose client closed the connection too early.
     pub fn record_cancelled(&self) {
         self.lock().cancelled += 1;
     }
@@ -76,17 +80,18 @@
     }
 }
 
-fn tag_of(ask: &Ask) -> String {
-    match ask.header(TAG_HEADER) {
+/// The key of a request in [`Runs::counts`].
+fn count_key(request: &HttpRequest) -> String {
+    match request.header(TAG_HEADER) {
         Some(tag) => tag.to_string(),
-        None if ask.body.len() <= MAX_BODY_TAG_BYTES => {
-            String::from_utf8_lossy(&ask.body).into_owned()
+        None if request.body.len() <= MAX_BODY_TAG_BYTES => {
+            String::from_utf8_lossy(&request.body).into_owned()
         }
         None => {
             let mut hasher = DefaultHasher::new();
-            ask.body.hash(&mut hasher);
-            let start = String::from_utf8_lossy(&ask.body[..MAX_BODY_TAG_BYTES]);
-            format!("{start}#{:016x}", hasher.finish())
+            request.body.hash(&mut hasher);
+            let prefix = String::from_utf8_lossy(&request.body[..MAX_BODY_TAG_BYTES]);
+            format!("{prefix}#{:016x}", hasher.finish())
         }
     }
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,5 @@
-//! A plain service that answers any request and counts how often each one ran.
+//! A plain HTTP service that echoes any request as JSON and counts how often each one was
+//! handled.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,22 +9,22 @@
 use hyper::StatusCode;
 use serde_json::json;
 
-use crate::answer::{Answer, Ask};
 use crate::faults::FaultControls;
+use crate::http::{HttpRequest, HttpResponse};
 use crate::record::{Recorder, Runs};
-use crate::server::{Answering, Handler, HttpServer};
+use crate::server::{Handler, HttpServer, ResponseFuture};
 
-/// Path of the counts.
+/// Path at which every stand-in server reports its [`Runs`] as JSON.
 pub const RUNS_PATH: &str = "/standin/runs";
 
-/// Settings of a plain service.
+/// Settings of a [`PlainService`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceSettings {
-    /// Time that each request takes, in milliseconds.
+    /// Time that each request takes to handle, in milliseconds.
     pub work_ms: u64,
 }
 
-/// A running plain service.
+/// A running plain service. It echoes each request as JSON.
 pub struct PlainService {
     server: HttpServer,
     recorder: Arc<Recorder>,
@@ -48,22 +49,22 @@
         Ok(PlainService { server, recorder })
     }
 
-    /// The bound address.
+    /// The bound address, with the port that the system chose.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// The fault controls.
+    /// Sets the faults that this server injects.
     pub fn faults(&self) -> &Arc<FaultControls> {
         self.server.faults()
     }
 
-    /// Requests that ran so far.
+    /// The requests handled so far, also those that were cancelled.
     pub fn runs(&self) -> Runs {
         self.recorder.runs()
     }
 
-    /// Closes all connections and waits for the thread.
+    /// Closes all connections and waits for the server thread to end.
     pub fn close(self) {
         self.server.close();
     }
@@ -75,33 +76,34 @@
 }
 
 impl Handler for ServiceHandler {
-    fn answer(&self, ask: Ask) -> Answering<'_> {
+    fn handle(&self, request: HttpRequest) -> ResponseFuture<'_> {
         Box::pin(async move {
-            match ask.path.as_str() {
-                RUNS_PATH => Answer::json(StatusCode::OK, &self.recorder.runs()),
-                _ => self.run(ask).await,
+            match request.path.as_str() {
+                RUNS_PATH => HttpResponse::json(StatusCode::OK, &self.recorder.runs()),
+                _ => self.run(request).await,
             }
         })
     }
 }
 
 impl ServiceHandler {
-    async fn run(&self, ask: Ask) -> Answer {
-        self.recorder.record(&ask);
+    async fn run(&self, request: HttpRequest) -> HttpResponse {
+        self.recorder.record(&request);
         let guard = CancelGuard::new(&self.recorder);
         tokio::time::sleep(Duration::from_millis(self.settings.work_ms)).await;
         guard.disarm();
         let echo = json!({
-            "method": ask.method.as_str(),
-            "path": ask.path,
-            "query": ask.query,
-            "body": String::from_utf8_lossy(&ask.body),
+            "method": request.method.as_str(),
+            "path": request.path,
+            "query": request.query,
+            "body": String::from_utf8_lossy(&request.body),
         });
-        Answer::json(StatusCode::OK, &echo)
+        HttpResponse::json(StatusCode::OK, &echo)
     }
 }
 
-/// Records a cancellation when it is dropped before the work is done.
+/// Records a cancelled request if it is dropped before [`Self::disarm`]. A handler's
+/// future is dropped when the client closes the connection.
 pub(crate) struct CancelGuard<'a> {
     recorder: &'a Recorder,
     armed: bool,
@@ -115,6 +117,7 @@
         }
     }
 
+    /// Marks the request as completed.
     pub(crate) fn disarm(mut self) {
         self.armed = false;
     }
--- a/crates/standin/src/wire.rs
+++ b/crates/standin/src/wire.rs
@@ -1,4 +1,5 @@
-//! JSON forms of the etcd v3 gateway: base64 for bytes, strings for 64-bit numbers.
+//! The JSON format of the etcd v3 gateway: keys and values are base64, 64-bit numbers are
+//! strings.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -6,7 +7,8 @@
 use serde::{Deserialize, Deserializer};
 use serde_json::{Value, json};
 
-/// Accepts a number as a JSON string or number, as the gateway does.
+/// Deserializes a 64-bit number from a JSON string or a JSON number; etcd's gateway
+/// accepts both.
 fn number<'de, D: Deserializer<'de>>(input: D) -> Result<i64, D::Error> {
     match Value::deserialize(input)? {
         Value::String(text) => text.parse().map_err(serde::de::Error::custom),
@@ -22,6 +24,7 @@
 pub(crate) struct RangeRequest {
     pub(crate) key: String,
     pub(crate) range_end: String,
+    /// Largest number of entries in the response. 0 means no limit.
     #[serde(deserialize_with = "number")]
     pub(crate) limit: i64,
     pub(crate) sort_order: String,
@@ -38,12 +41,14 @@
     pub(crate) lease: i64,
 }
 
+/// A delete of a single key.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct KeyRequest {
     pub(crate) key: String,
 }
 
+/// One operation of a transaction. Exactly one field must be set.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct Operation {
@@ -53,6 +58,7 @@
     pub(crate) request_delete_range: Option<KeyRequest>,
 }
 
+/// One comparison of a transaction. All must hold for its `success` operations to run.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct Compare {
@@ -71,6 +77,7 @@
     pub(crate) failure: Vec<Operation>,
 }
 
+/// The request to grant, renew or revoke a lease. Only a grant has a `ttl`, in seconds.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct LeaseRequest {
@@ -92,6 +99,7 @@
 pub(crate) struct WatchCreate {
     pub(crate) key: String,
     pub(crate) range_end: String,
+    /// First revision to report. 0 means the one after the current revision.
     #[serde(deserialize_with = "number")]
     pub(crate) start_revision: i64,
 }
@@ -102,20 +110,22 @@
     pub(crate) create_request: WatchCreate,
 }
 
-/// Decodes a key. Keys of this stand-in are UTF-8.
+/// Decodes a base64 key. This stand-in supports only keys that are valid UTF-8.
 pub(crate) fn key(text: &str) -> Result<String, StoreError> {
     String::from_utf8(bytes(text)?)
         .map_err(|_| StoreError::Rejected("key is not UTF-8".into()))
 }
 
+/// Decodes base64.
 pub(crate) fn bytes(text: &str) -> Result<Vec<u8>, StoreError> {
     STANDARD
         .decode(text)
         .map_err(|_| StoreError::Rejected("invalid base64".into()))
 }
 
-/// Whether `range_end` is the end of the prefix `key`, i.e. `key` with its last byte
-/// that can grow increased by one.
+/// Whether `range_end` selects all keys with the prefix `key`, i.e. is `key` with its last
+/// byte increased by one, or a single zero byte if `key` is empty. The last byte can
+/// always be increased, since UTF-8 contains no byte 0xff.
 pub(crate) fn is_prefix_end(key: &str, range_end: &[u8]) -> bool {
     let mut end = key.as_bytes().to_vec();
     match end.last_mut() {
@@ -125,6 +135,8 @@
     end == range_end
 }
 
+/// Converts a comparison of a transaction. Only `EQUAL` on `MOD` is supported; an absent
+/// result means `EQUAL`.
 pub(crate) fn condition(compare: &Compare) -> Result<Condition, StoreError> {
     let equal = compare.result.is_empty() || compare.result == "EQUAL";
     match compare.target.as_str() {
@@ -138,6 +150,7 @@
     }
 }
 
+/// Converts a put. Lease 0 means no lease.
 pub(crate) fn put(request: &PutRequest) -> Result<Write, StoreError> {
     Ok(Write::Put {
         key: key(&request.key)?,
@@ -146,6 +159,7 @@
     })
 }
 
+/// Converts an operation of a transaction, which is either a put or a delete.
 pub(crate) fn write(operation: &Operation) -> Result<Write, StoreError> {
     match (&operation.request_put, &operation.request_delete_range) {
         (Some(request), None) => put(request),
@@ -156,12 +170,15 @@
     }
 }
 
+/// The header of every response. Cluster, member and Raft term are constant.
 pub(crate) fn header(revision: u64) -> Value {
     json!({ "cluster_id": "1", "member_id": "1", "revision": revision.to_string(),
         "raft_term": "1" })
 }
 
-/// One key-value pair. Zero and empty fields are left out, as the gateway does.
+/// A key-value pair. Empty values and absent leases are omitted, as etcd's gateway does.
+/// The store keeps neither creation revisions nor versions, so `create_revision` repeats
+/// the `mod_revision` and `version` is always 1.
 pub(crate) fn entry(entry: &Entry, keys_only: bool) -> Value {
     let mut value = json!({ "key": STANDARD.encode(&entry.key),
         "create_revision": entry.mod_revision.to_string(),
@@ -175,6 +192,7 @@
     value
 }
 
+/// An event of a watch. The type of a put is omitted, since it is the default value.
 pub(crate) fn event(change: &Change) -> Value {
     match change {
         Change::Put(put) => json!({ "kv": entry(put, false) }),
