--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,4 +1,5 @@
-//! Slots of the running batch, and the calls that wait for one.
+//! Continuous batching: a fixed number of slots for running calls, and the queue of calls
+//! that wait for a slot.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -6,22 +7,32 @@
 
 use tokio::sync::oneshot;
 
-/// Load samples older than this are dropped, so a larger `load_lag_ms` has no effect.
+/// Age from which load samples are dropped, in milliseconds. With a larger `load_lag_ms`
+/// there may be no sample that is old enough; the load is then reported as zero.
 const LOAD_HISTORY_MS: u64 = 60_000;
 
-/// WaitQueue calls in order of priority (lower runs first), then arrival.
-type WaitQueue = BTreeMap<(i64, u64), oneshot::Sender<()>>;
+/// A waiting call's priority (lower runs first) and arrival number.
+type QueueKey = (i64, u64);
+
+/// The waiting calls in the order in which they get a slot. A message on the channel
+/// grants the slot.
+type WaitQueue = BTreeMap<QueueKey, oneshot::Sender<()>>;
 
 #[derive(Debug, Default)]
 struct BatchState {
+    /// Number of occupied slots.
     running: usize,
+    /// Arrival number of the call that arrived last.
     last_arrival: u64,
+    /// The number that [`Batch::next_id`] returned last.
     last_id: u64,
     waiting: WaitQueue,
+    /// Times with the number of running and waiting calls from then on, oldest first.
     load_history: VecDeque<(Instant, usize, usize)>,
 }
 
 impl BatchState {
+    /// Adds a load sample. Called after each change of the load.
     fn record_load(&mut self) {
         let now = Instant::now();
         let keep = Duration::from_millis(LOAD_HISTORY_MS);
@@ -34,11 +45,11 @@
         }
     }
 
-    /// Gives a freed slot to the first waiting call that still exists.
+    /// Frees a slot and grants it to the first waiting call that has not been cancelled.
     fn release(&mut self) {
         self.running -= 1;
-        while let Some((_, waiting)) = self.waiting.pop_first() {
-            if waiting.send(()).is_ok() {
+        while let Some((_, grant_sender)) = self.waiting.pop_first() {
+            if grant_sender.send(()).is_ok() {
                 self.running += 1;
                 break;
             }
@@ -47,7 +58,7 @@
     }
 }
 
-/// The running batch of an engine.
+/// The slots of an engine and the calls that occupy or wait for them.
 #[derive(Debug)]
 pub(crate) struct Batch {
     slots: usize,
@@ -55,6 +66,7 @@
 }
 
 impl Batch {
+    /// A batch with at least one slot.
     pub(crate) fn new(slots: usize) -> Batch {
         Batch {
             slots: slots.max(1),
@@ -66,7 +78,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for a slot. The slot is free again when the result is dropped.
+    /// Waits for a slot. Lower priorities get one first. The slot is freed when the result
+    /// is dropped. If the future is dropped, the call leaves the queue.
     pub(crate) async fn acquire(&self, priority: i64) -> Slot<'_> {
         let mut request = {
             let mut state = self.lock();
@@ -78,8 +91,8 @@
                     SlotRequest::running(self)
                 }
                 false => {
-                    let (granted, grant) = oneshot::channel();
-                    state.waiting.insert(key, granted);
+                    let (grant_sender, grant) = oneshot::channel();
+                    state.waiting.insert(key, grant_sender);
                     SlotRequest::waiting(self, key, grant)
                 }
             };
@@ -90,7 +103,7 @@
         request.into_slot()
     }
 
-    /// Running and waiting calls as they were `lag_ms` ago.
+    /// Number of running and of waiting calls, as they were `lag_ms` ago.
     pub(crate) fn load(&self, lag_ms: u64) -> (usize, usize) {
         let state = self.lock();
         if lag_ms == 0 {
@@ -105,22 +118,26 @@
         sample.map_or((0, 0), |(_, running, waiting)| (*running, *waiting))
     }
 
-    /// A number for the id of a response.
+    /// A number that is unique within the engine, for the id of a response.
     pub(crate) fn next_id(&self) -> u64 {
         let mut state = self.lock();
         state.last_id += 1;
         state.last_id
     }
 
+    /// Number of running calls.
     pub(crate) fn running(&self) -> usize {
         self.lock().running
     }
 }
 
-/// A call that waits for a slot or has one. Dropping it gives up either.
+/// A call that waits for a slot or has been granted one, until [`Self::into_slot`]. If it
+/// is dropped before, the call leaves the queue or frees the granted slot.
 struct SlotRequest<'a> {
     batch: &'a Batch,
-    wait: Option<((i64, u64), oneshot::Receiver<()>)>,
+    /// The key in the queue and the grant. `None` once the call knows of its grant.
+    wait: Option<(QueueKey, oneshot::Receiver<()>)>,
+    /// Whether a [`Slot`] has been created, which then frees the slot.
     has_slot_guard: bool,
 }
 
@@ -135,7 +152,7 @@
 
     fn waiting(
         batch: &'a Batch,
-        key: (i64, u64),
+        key: QueueKey,
         grant: oneshot::Receiver<()>,
     ) -> SlotRequest<'a> {
         SlotRequest {
@@ -164,18 +181,20 @@
             return;
         }
         let mut state = self.batch.lock();
-        let still_waits = match &self.wait {
+        // A call that is no longer in the queue was granted a slot, even if it has not
+        // seen the grant yet.
+        let is_queued = match &self.wait {
             Some((key, _)) => state.waiting.remove(key).is_some(),
             None => false,
         };
-        match still_waits {
+        match is_queued {
             true => state.record_load(),
             false => state.release(),
         }
     }
 }
 
-/// A slot of the batch.
+/// An occupied slot. Dropping it frees the slot for the next waiting call.
 pub(crate) struct Slot<'a> {
     batch: &'a Batch,
 }
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,5 +1,5 @@
-//! The prefix cache: blocks of tokens, found by the hash of the whole prefix, evicted
-//! least recently used first.
+//! The prefix cache of the engine: blocks of tokens, each found by a hash of the prefix
+//! that ends with it. Blocks that were not used for the longest time are evicted first.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -8,42 +8,54 @@
 
 use serde::Serialize;
 
-/// Bytes of text in one token.
+/// Number of bytes of text that count as one token. The engine has no tokenizer.
 pub(crate) const TOKEN_BYTES: usize = 4;
 
-/// Tokens in one block, the unit of caching.
+/// Number of tokens in a block. Only full blocks are cached.
 const BLOCK_TOKENS: u64 = 16;
 
-/// Events kept for `GET /cache/events`.
+/// Number of events kept for `GET /cache/events`. When it is reached, the older half is
+/// dropped.
 const MAX_STORED_EVENTS: usize = 10_000;
 
+/// Hash of the model and of the text up to the end of a block.
 type BlockHash = u64;
 
 #[derive(Debug, Default)]
 struct Block {
+    /// Value of [`PrefixCache::use_counter`] at the last use.
     last_used: u64,
+    /// Cache tags of the calls that stored the block. Empty if they had none.
     tags: BTreeSet<String>,
 }
 
-/// A change of the cache as published to watchers.
+/// A change of the cache, as reported by `GET /cache/events`.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct CacheEvent {
+    /// Sequence number, 1 for the first event.
     seq: u64,
+    /// `stored`, `evicted` or `released`.
     kind: &'static str,
     tag: String,
+    /// Number of tokens that were stored, evicted or released.
     tokens: u64,
+    /// Compared with `cache_event_lag_ms` of the faults.
     #[serde(skip)]
     recorded_at: Instant,
 }
 
-/// Invariant: `order` holds each block exactly once, under its `last_used`.
+/// A prefix cache with a fixed capacity.
+///
+/// Invariant: `by_last_use` holds each block exactly once, under its `last_used`.
 #[derive(Debug)]
 pub(crate) struct PrefixCache {
     capacity_blocks: usize,
+    /// Increased by each use of a block.
     use_counter: u64,
     blocks: HashMap<BlockHash, Block>,
     by_last_use: BTreeMap<u64, BlockHash>,
     events: Vec<CacheEvent>,
+    /// Sequence number of the next event.
     next_event: u64,
 }
 
@@ -59,20 +71,21 @@
         }
     }
 
-    /// Tokens of the longest cached prefix of `text`. Marks its blocks as used.
+    /// Number of tokens of the longest cached prefix of `text`. Marks its blocks as used.
     pub(crate) fn lookup(&mut self, model: &str, text: &[u8]) -> u64 {
         let hashes = block_hashes(model, text);
-        let hit = hashes
+        let hits = hashes
             .iter()
             .take_while(|hash| self.blocks.contains_key(hash))
             .count();
-        hashes[..hit]
+        hashes[..hits]
             .iter()
             .for_each(|hash| self.touch(*hash, None));
-        hit as u64 * BLOCK_TOKENS
+        hits as u64 * BLOCK_TOKENS
     }
 
-    /// Stores the blocks of `text` under `tag`. An empty tag belongs to no program.
+    /// Stores the full blocks of `text`, and adds `tag` to each unless it is empty. Evicts
+    /// blocks if the capacity is exceeded.
     pub(crate) fn store(&mut self, model: &str, text: &[u8], tag: &str) {
         let hashes = block_hashes(model, text);
         hashes.iter().for_each(|hash| self.touch(*hash, Some(tag)));
@@ -82,6 +95,7 @@
         }
     }
 
+    /// Marks a block as used, adds it if it is absent, and adds `tag` unless it is empty.
     fn touch(&mut self, hash: BlockHash, tag: Option<&str>) {
         self.use_counter += 1;
         let block = self.blocks.entry(hash).or_default();
@@ -93,6 +107,7 @@
         }
     }
 
+    /// Evicts the least recently used block. Records one event for each of its tags.
     fn evict_oldest(&mut self) {
         let oldest = self.by_last_use.pop_first();
         let block = oldest.and_then(|(_, hash)| self.blocks.remove(&hash));
@@ -101,7 +116,8 @@
         }
     }
 
-    /// Drops the blocks that only `tag` holds. Returns their tokens.
+    /// Removes `tag` from all blocks and drops those that then have no tag. Returns the
+    /// number of dropped tokens.
     pub(crate) fn release(&mut self, tag: &str) -> u64 {
         let before = self.blocks.len();
         let by_last_use = &mut self.by_last_use;
@@ -117,7 +133,7 @@
         released as u64 * BLOCK_TOKENS
     }
 
-    /// Tokens held by each tag. Shared blocks count for each of their tags.
+    /// Number of cached tokens by tag. A block with several tags counts for each of them.
     pub(crate) fn tags(&self) -> BTreeMap<String, u64> {
         let mut tags: BTreeMap<String, u64> = BTreeMap::new();
         for tag in self.blocks.values().flat_map(|block| &block.tags) {
@@ -126,10 +142,12 @@
         tags
     }
 
+    /// Number of cached tokens. Blocks with several tags count once.
     pub(crate) fn used_tokens(&self) -> u64 {
         self.blocks.len() as u64 * BLOCK_TOKENS
     }
 
+    /// Appends an event with the next sequence number.
     fn record_event(&mut self, kind: &'static str, tag: &str, blocks: usize) {
         if self.events.len() >= MAX_STORED_EVENTS {
             self.events.drain(..MAX_STORED_EVENTS / 2);
@@ -144,8 +162,8 @@
         self.next_event += 1;
     }
 
-    /// Events from sequence number `from` on that are at least `lag_ms` old, without
-    /// every `gap`-th one (0: none is left out).
+    /// The events from sequence number `from` on that are at least `lag_ms` old, without
+    /// those whose number is a multiple of `gap`. With `gap` 0, none is omitted.
     pub(crate) fn events(&self, from: u64, lag_ms: u64, gap: u64) -> Vec<CacheEvent> {
         let lag = Duration::from_millis(lag_ms);
         self.events
@@ -157,7 +175,8 @@
     }
 }
 
-/// The hashes of all full blocks. Each covers the model and the text up to its end.
+/// The hashes of the full blocks of `text`. Each covers the model and the text up to the
+/// end of its block, so that blocks match only if their whole prefixes do.
 fn block_hashes(model: &str, text: &[u8]) -> Vec<BlockHash> {
     let mut hasher = DefaultHasher::new();
     model.hash(&mut hasher);
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,5 +1,8 @@
-//! A model engine: chat completions with continuous batching, a prefix cache, load
-//! reports and fenced orders.
+//! A stand-in for a model engine: chat completions with continuous batching, a prefix
+//! cache, load reports, and orders with fencing numbers.
+//!
+//! It computes nothing: each call occupies a slot for the time that [`EngineSettings`]
+//! gives for its prompt and its generated tokens, and its text is made up.
 
 mod batch;
 mod cache;
@@ -24,35 +27,39 @@
 use crate::server::{Handler, HttpServer, ResponseFuture};
 use crate::service::RUNS_PATH;
 
-/// Header with the cache tag of a call.
+/// Request header with the cache tag of a call. The blocks that the call stores in the
+/// prefix cache carry the tag, and `DELETE /cache/TAG` releases them.
 pub const CACHE_TAG_HEADER: &str = "jayreel-cache-tag";
 
-/// Settings of an engine. The default responses within milliseconds.
+/// Settings of an [`Engine`]. With the default, a call with a short prompt takes a few
+/// milliseconds.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EngineSettings {
-    /// Models served. Empty means that any name is accepted.
+    /// The served models, or with `reports_models` those that are loaded from the start.
+    /// Empty means that any name is accepted, unless `reports_models` is set.
     pub models: Vec<String>,
-    /// Calls that run at the same time.
+    /// Number of calls that run at the same time, at least 1. Others wait.
     pub slots: usize,
-    /// Time for each prompt token that is not cached, in microseconds.
+    /// Time for each prompt token that is not in the prefix cache, in microseconds.
     pub prefill_us_per_token: u64,
     /// Time for each generated token, in microseconds.
     pub token_us: u64,
-    /// Added to `token_us` for each other running call, in microseconds.
+    /// Time added to `token_us` for each other running call, in microseconds.
     pub batch_slowdown_us: u64,
-    /// Size of the prefix cache in tokens.
+    /// Capacity of the prefix cache, in tokens.
     pub cache_tokens: u64,
-    /// Tokens that a response has unless `max_tokens` is lower. A request with
-    /// `ignore_eos` gets exactly `max_tokens`.
+    /// Number of tokens after which a response ends by itself. It ends earlier if
+    /// `max_tokens` of the request is lower. A request with `ignore_eos` gets exactly
+    /// `max_tokens`, if it has any.
     pub answer_tokens: u64,
-    /// Prompt tokens added for each message by the chat template.
+    /// Number of prompt tokens that the chat template adds for each message.
     pub template_tokens: u64,
-    /// Whether orders with an old fencing number are rejected.
+    /// Whether orders with a fencing number lower than the highest seen are rejected.
     pub checks_fencing: bool,
-    /// Whether it reports its models at `GET /models` and loads others by order. It then
-    /// responses only calls for what is loaded.
+    /// Whether the engine reports its models at `GET /models` and loads others by order. It
+    /// then accepts only calls for models and adapters that are completely loaded.
     pub reports_models: bool,
-    /// Time of a load, in milliseconds.
+    /// Time that loading a model or an adapter by order takes, in milliseconds.
     pub load_ms: u64,
 }
 
@@ -74,7 +81,8 @@
     }
 }
 
-/// A running engine.
+/// A running engine. Its methods show the state without the faults that distort the
+/// reports over HTTP.
 pub struct Engine {
     server: HttpServer,
     state: Arc<EngineState>,
@@ -104,43 +112,43 @@
         Ok(Engine { server, state })
     }
 
-    /// The bound address.
+    /// The bound address, with the port that the system chose.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// The fault controls.
+    /// Sets the faults that this server injects.
     pub fn faults(&self) -> &Arc<FaultControls> {
         self.server.faults()
     }
 
-    /// Requests that ran so far.
+    /// The completion calls handled so far, also those that were cancelled.
     pub fn runs(&self) -> Runs {
         self.state.recorder.runs()
     }
 
-    /// Running and waiting calls now, without the lag of `GET /load`.
+    /// Number of running and of waiting calls now, without the lag of `GET /load`.
     pub fn load(&self) -> (usize, usize) {
         self.state.batch.load(0)
     }
 
-    /// Cache tags held now.
+    /// The tags of all cached blocks, sorted.
     pub fn cache_tags(&self) -> Vec<String> {
         self.state
             .with_cache(|cache| cache.tags().into_keys().collect())
     }
 
-    /// The report of models now.
+    /// The report of `GET /models`, whether or not the engine serves that path.
     pub fn models(&self) -> Value {
         self.state.with_orders(|orders| orders.models())
     }
 
-    /// Fencing numbers and orders that were carried out, in the order of their arrival.
+    /// Fencing numbers and contents of the accepted orders, in the order of their arrival.
     pub fn orders(&self) -> Vec<(u64, Value)> {
         self.state.with_orders(|orders| orders.applied())
     }
 
-    /// Closes all connections and waits for the thread.
+    /// Closes all connections and waits for the server thread to end.
     pub fn close(self) {
         self.server.close();
     }
@@ -152,6 +160,7 @@
     cache: Mutex<PrefixCache>,
     orders: Mutex<Orders>,
     recorder: Recorder,
+    /// Set once the server, which creates the controls, has started.
     faults: OnceLock<Arc<FaultControls>>,
 }
 
@@ -161,6 +170,7 @@
         action(&mut cache)
     }
 
+    /// The current faults. None until the server has started.
     fn faults(&self) -> Faults {
         self.faults
             .get()
@@ -168,6 +178,7 @@
             .unwrap_or_default()
     }
 
+    /// The response to `GET /load`.
     fn load(&self) -> HttpResponse {
         let (running, waiting) = self.batch.load(self.faults().load_lag_ms);
         let load = json!({ "running": running, "waiting": waiting,
@@ -175,6 +186,7 @@
         HttpResponse::json(StatusCode::OK, &load)
     }
 
+    /// The response to `GET /cache`.
     fn cache(&self) -> HttpResponse {
         let value = self.with_cache(|cache| {
             json!({ "tags": cache.tags(), "used_tokens": cache.used_tokens(),
@@ -183,11 +195,13 @@
         HttpResponse::json(StatusCode::OK, &value)
     }
 
+    /// The response to `DELETE /cache/TAG`.
     fn release(&self, tag: &str) -> HttpResponse {
         let released = self.with_cache(|cache| cache.release(tag));
         HttpResponse::json(StatusCode::OK, &json!({ "released_tokens": released }))
     }
 
+    /// The response to `GET /cache/events?from=N`. Without a valid `from`, it has all events.
     fn cache_events(&self, query: &str) -> HttpResponse {
         let from = query
             .strip_prefix("from=")
@@ -200,6 +214,7 @@
         HttpResponse::json(StatusCode::OK, &json!({ "events": events }))
     }
 
+    /// The response to `POST /orders`, or to a read of `/orders` with any other method.
     fn orders(&self, request: &HttpRequest) -> HttpResponse {
         self.with_orders(|orders| match request.method {
             Method::POST => orders.submit(&request.body),
@@ -212,6 +227,7 @@
         action(&mut orders)
     }
 
+    /// The response to `GET /models`.
     fn models(&self) -> HttpResponse {
         match self.settings.reports_models {
             true => {
@@ -222,7 +238,7 @@
         }
     }
 
-    /// Whether a call may name the model.
+    /// Whether calls for `model` are accepted.
     fn serves(&self, model: &str) -> bool {
         let models = &self.settings.models;
         match self.settings.reports_models {
--- a/crates/standin/src/engine/models.rs
+++ b/crates/standin/src/engine/models.rs
@@ -1,11 +1,13 @@
-//! Models and adapters that an engine has loaded or is loading.
+//! The models and adapters that the engine has loaded or is loading, and the orders that
+//! change them.
 
 use std::time::{Duration, Instant};
 
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-/// An order about weights.
+/// An order to load or unload a model or an adapter, as in the `order` field of the body
+/// of `POST /orders`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 enum ModelOrder {
@@ -27,23 +29,30 @@
     },
 }
 
-/// Weights of a model's version, or of an adapter.
+/// The weights of one version of a model, or of an adapter. They are loaded and unloaded
+/// as a unit.
 #[derive(Clone, Debug, Eq, PartialEq)]
 struct Weights {
+    /// The model, for an adapter the one that it belongs to.
     model: String,
+    /// `None` for adapters, and for models without a known version.
     version: Option<String>,
+    /// `None` for models.
     adapter: Option<String>,
 }
 
-/// All weights of an engine, in the order in which they were ordered.
+/// All weights that an engine has loaded or is loading, in the order in which loading
+/// began.
 #[derive(Debug)]
 pub(super) struct Models {
     load_time: Duration,
+    /// Each with the time at which it is loaded.
     weights: Vec<(Weights, Instant)>,
 }
 
 impl Models {
-    /// Models that are loaded from the start, in an unknown version.
+    /// Starts with the models in `loaded`, without a known version. Later loads take
+    /// `load_ms` milliseconds.
     pub(super) fn new(loaded: &[String], load_ms: u64) -> Models {
         let now = Instant::now();
         let weights = loaded.iter().map(|model| {
@@ -60,27 +69,28 @@
         }
     }
 
-    /// Carries out an order. Other orders than those about weights have no effect.
+    /// Begins or undoes the load that an order asks for. Ignores orders of other kinds.
     pub(super) fn apply(&mut self, order: &Value) {
         let Ok(order) = ModelOrder::deserialize(order) else {
             return;
         };
         match order {
             ModelOrder::LoadAdapter { model, adapter } => {
-                self.load(adapter_of(model, adapter));
+                self.load(adapter_weights(model, adapter));
             }
             ModelOrder::LoadModel { model, version } => {
-                self.load(version_of(model, version));
+                self.load(model_weights(model, version));
             }
             ModelOrder::UnloadAdapter { model, adapter } => {
-                self.unload(&adapter_of(model, adapter));
+                self.unload(&adapter_weights(model, adapter));
             }
             ModelOrder::UnloadModel { model, version } => {
-                self.unload(&version_of(model, version));
+                self.unload(&model_weights(model, version));
             }
         }
     }
 
+    /// Begins to load, unless the weights are already loaded or loading.
     fn load(&mut self, weights: Weights) {
         if !self.weights.iter().any(|(known, _)| *known == weights) {
             self.weights
@@ -92,16 +102,17 @@
         self.weights.retain(|(known, _)| known != weights);
     }
 
-    /// Whether calls can name this model or adapter.
+    /// Whether a model, in any version, or an adapter of this name is completely loaded.
     pub(super) fn is_loaded(&self, name: &str) -> bool {
         let now = Instant::now();
         self.weights.iter().any(|(weights, ready_at)| {
-            let own = weights.adapter.as_ref().unwrap_or(&weights.model);
-            own == name && *ready_at <= now
+            let weights_name = weights.adapter.as_ref().unwrap_or(&weights.model);
+            weights_name == name && *ready_at <= now
         })
     }
 
-    /// The report, with the number of the order that arrived last.
+    /// The body of `GET /models`. `fencing` is the fencing number of the order that was
+    /// applied last.
     pub(super) fn report(&self, fencing: u64) -> Value {
         let now = Instant::now();
         let state = |ready_at: &Instant| match *ready_at <= now {
@@ -124,7 +135,7 @@
     }
 }
 
-fn version_of(model: String, version: Option<String>) -> Weights {
+fn model_weights(model: String, version: Option<String>) -> Weights {
     let adapter = None;
     Weights {
         model,
@@ -133,7 +144,7 @@
     }
 }
 
-fn adapter_of(model: String, adapter: String) -> Weights {
+fn adapter_weights(model: String, adapter: String) -> Weights {
     let version = None;
     let adapter = Some(adapter);
     Weights {
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -1,4 +1,5 @@
-//! Orders with fencing numbers.
+//! Orders to the engine, each with a fencing number. An engine that checks fencing rejects
+//! an order whose number is lower than the highest it has accepted.
 
 use hyper::StatusCode;
 use serde::{Deserialize, Serialize};
@@ -7,23 +8,27 @@
 use crate::engine::models::Models;
 use crate::http::HttpResponse;
 
-/// One order as sent to `POST /orders`.
+/// The body of `POST /orders`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct Order {
-    /// The fencing number.
+    /// The fencing number. Orders with equal numbers are all accepted.
     fencing: u64,
-    /// What to do.
+    /// What to do. Only orders about models have an effect, see [`Models::apply`]; others
+    /// are just recorded.
     #[serde(default)]
     order: Value,
 }
 
-/// The orders that were carried out, in the order of their arrival.
+/// The accepted orders and the models that they loaded.
 #[derive(Debug)]
 pub(crate) struct Orders {
     checks_fencing: bool,
+    /// The highest fencing number accepted so far.
     newest_fencing: u64,
-    /// Number of the order that arrived last.
+    /// The fencing number of the order accepted last. Lower than `newest_fencing` if an
+    /// engine without fencing checks accepted an old order.
     last_fencing: u64,
+    /// The accepted orders, in the order of their arrival.
     applied: Vec<Order>,
     models: Models,
 }
@@ -39,6 +44,7 @@
         }
     }
 
+    /// Applies an order, or rejects it with status 409 if its fencing number is too old.
     pub(crate) fn submit(&mut self, body: &[u8]) -> HttpResponse {
         match serde_json::from_slice::<Order>(body) {
             Err(error) => {
@@ -60,17 +66,17 @@
         }
     }
 
-    /// The report of models.
+    /// The body of `GET /models`.
     pub(super) fn models(&self) -> Value {
         self.models.report(self.last_fencing)
     }
 
-    /// Whether calls can name this model or adapter.
+    /// See [`Models::is_loaded`].
     pub(super) fn is_loaded(&self, name: &str) -> bool {
         self.models.is_loaded(name)
     }
 
-    /// Numbers and contents of the orders, in the order of their arrival.
+    /// Fencing numbers and contents of the accepted orders, in the order of their arrival.
     pub(super) fn applied(&self) -> Vec<(u64, Value)> {
         let orders = self.applied.iter();
         orders
@@ -78,6 +84,7 @@
             .collect()
     }
 
+    /// The response to `GET /orders`: the highest fencing number and all accepted orders.
     pub(crate) fn list(&self) -> HttpResponse {
         let value = json!({ "newest": self.newest_fencing, "applied": self.applied });
         HttpResponse::json(StatusCode::OK, &value)
--- a/crates/standin/src/record.rs
+++ b/crates/standin/src/record.rs
@@ -1,6 +1,5 @@
 //! Records the requests that a stand-in server handled: counts by request tag and by
-//! path, and the headers seen. Tests compare these with what they sent, for example to
-//! find requests that ran twice.
+//! path, the headers seen, and the number of cancelled requests.
 
 use std::collections::BTreeMap;
 use std::collections::hash_map::DefaultHasher;
@@ -69,7 +68,8 @@
         *self.lock().paths.entry(path).or_default() += 1;
     }
 
-    /// Counts a request whose client closed the connection too early.
+    /// Counts a request whose client closed the connection before the response was
+    /// complete.
     pub fn record_cancelled(&self) {
         self.lock().cancelled += 1;
     }
--- a/crates/standin/tests/models.rs
+++ b/crates/standin/tests/models.rs
@@ -1,4 +1,4 @@
-//! The engine stand-in loads and unloads models by order.
+//! Tests of loading and unloading models and adapters in the engine by order.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,9 +8,11 @@
 use serde_json::{Value, json};
 use test_case::test_case;
 
-const GENEROUS: Duration = Duration::from_secs(60);
+/// Limit for reads and waits, far above what they take when the engine works.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-fn start(settings: EngineSettings) -> Engine {
+/// Starts an engine that reports its models and has loaded `m`, without a known version.
+fn start_engine(settings: EngineSettings) -> Engine {
     let address: SocketAddr = "127.0.0.1:0".parse().unwrap();
     Engine::start(
         address,
@@ -23,9 +25,10 @@
     .unwrap()
 }
 
-fn send(engine: &Engine, method: &str, path: &str, body: &Value) -> (u16, Value) {
+/// Sends a request and returns the status and the JSON of its response.
+fn send_request(engine: &Engine, method: &str, path: &str, body: &Value) -> (u16, Value) {
     let mut stream = TcpStream::connect(engine.address()).unwrap();
-    stream.set_read_timeout(Some(GENEROUS)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let body = body.to_string();
     let length = body.len();
     write!(
@@ -41,20 +44,23 @@
     (status, serde_json::from_str(body).unwrap())
 }
 
-fn order(engine: &Engine, fencing: u64, kind: &str, version: &str) -> u16 {
+/// Sends an order about a version of `m` and returns the status.
+fn submit_order(engine: &Engine, fencing: u64, kind: &str, version: &str) -> u16 {
     let order = json!({ "kind": kind, "model": "m", "version": version });
     let body = json!({ "fencing": fencing, "order": order });
-    send(engine, "POST", "/orders", &body).0
+    send_request(engine, "POST", "/orders", &body).0
 }
 
-fn call(engine: &Engine, model: &str) -> u16 {
+/// Sends a completion call for `model` and returns the status.
+fn complete(engine: &Engine, model: &str) -> u16 {
     let message = json!({ "role": "user", "content": "x" });
     let body = json!({ "model": model, "messages": [message], "max_tokens": 1 });
-    send(engine, "POST", "/v1/chat/completions", &body).0
+    send_request(engine, "POST", "/v1/chat/completions", &body).0
 }
 
-fn versions(engine: &Engine) -> Vec<Value> {
-    let report = send(engine, "GET", "/models", &Value::Null).1;
+/// The versions of all models in the report.
+fn reported_versions(engine: &Engine) -> Vec<Value> {
+    let report = send_request(engine, "GET", "/models", &Value::Null).1;
     let models = report["models"].as_array().unwrap();
     models
         .iter()
@@ -62,45 +68,51 @@
         .collect()
 }
 
-/// Guards against a stand-in that serves a model before its load has ended, so that no
-/// test notices a call that comes too early.
+/// Guards against an engine that accepts calls before their model is completely loaded.
+/// Other tests would then not notice a call that is sent too early.
 #[test]
-fn load_takes_its_time() {
-    let engine = start(EngineSettings {
+fn calls_are_rejected_until_loaded() {
+    let engine = start_engine(EngineSettings {
         load_ms: 300,
         ..EngineSettings::default()
     });
     let adapter = json!({ "kind": "load_adapter", "model": "m", "adapter": "a" });
     let body = json!({ "fencing": 1, "order": adapter });
-    assert_eq!(send(&engine, "POST", "/orders", &body).0, 200);
+    assert_eq!(send_request(&engine, "POST", "/orders", &body).0, 200);
     let state = || engine.models()["adapters"][0]["state"].clone();
     assert_eq!(state(), "loading");
-    assert_eq!(call(&engine, "a"), 404);
-    let deadline = Instant::now() + GENEROUS;
+    assert_eq!(complete(&engine, "a"), 404);
+    let deadline = Instant::now() + TIMEOUT;
     while state() != "loaded" {
         assert!(Instant::now() < deadline, "the adapter was not loaded");
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(call(&engine, "a"), 200);
+    assert_eq!(complete(&engine, "a"), 200);
     engine.close();
 }
 
-/// Guards against a stand-in that does not show what an old order does.
+/// Guards against an engine that hides the effect of an order with an old fencing number:
+/// with fencing checks it must reject the order, without them apply and report it.
 #[test_case(true, 409, &["3"], 8; "checked")]
 #[test_case(false, 200, &["3", "1"], 5; "ignored")]
-fn old_order(checks_fencing: bool, status: u16, expected: &[&str], last: u64) {
-    let engine = start(EngineSettings {
+fn order_with_old_fencing_number(
+    checks_fencing: bool,
+    status: u16,
+    versions: &[&str],
+    last_fencing: u64,
+) {
+    let engine = start_engine(EngineSettings {
         checks_fencing,
         ..EngineSettings::default()
     });
     let unload = json!({ "kind": "unload_model", "model": "m", "version": null });
     let body = json!({ "fencing": 7, "order": unload });
-    assert_eq!(send(&engine, "POST", "/orders", &body).0, 200);
-    assert_eq!(call(&engine, "m"), 404);
-    assert_eq!(order(&engine, 8, "load_model", "3"), 200);
-    assert_eq!(order(&engine, 5, "load_model", "1"), status);
-    assert_eq!(versions(&engine), expected);
-    assert_eq!(engine.models()["fencing"], last);
-    assert_eq!(call(&engine, "m"), 200);
+    assert_eq!(send_request(&engine, "POST", "/orders", &body).0, 200);
+    assert_eq!(complete(&engine, "m"), 404);
+    assert_eq!(submit_order(&engine, 8, "load_model", "3"), 200);
+    assert_eq!(submit_order(&engine, 5, "load_model", "1"), status);
+    assert_eq!(reported_versions(&engine), versions);
+    assert_eq!(engine.models()["fencing"], last_fencing);
+    assert_eq!(complete(&engine, "m"), 200);
     engine.close();
 }
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -1,4 +1,4 @@
-//! The plain service stand-in: counts, headers and faults.
+//! Tests of the plain service: request counts, recorded headers and injected faults.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,16 +6,23 @@
 
 use jayreel_standin::{Down, Faults, PlainService, ServiceSettings};
 
-const GENEROUS: Duration = Duration::from_secs(30);
+/// Limit for reads and waits, far above what they take when the server works.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-fn start() -> PlainService {
+fn start_service() -> PlainService {
     let address: SocketAddr = "127.0.0.1:0".parse().unwrap();
     PlainService::start(address, ServiceSettings::default()).unwrap()
 }
 
-fn ask(service: &PlainService, head: &str, body: &str) -> std::io::Result<String> {
+/// Sends a request and returns the whole response. An injected fault that closes the
+/// connection shows as an error or as an empty response.
+fn send_request(
+    service: &PlainService,
+    head: &str,
+    body: &str,
+) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(service.address())?;
-    stream.set_read_timeout(Some(GENEROUS))?;
+    stream.set_read_timeout(Some(TIMEOUT))?;
     let length = body.len();
     let end = format!("host: s\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n");
     write!(stream, "{head}\r\n{end}{body}")?;
@@ -24,72 +31,79 @@
     Ok(text)
 }
 
-/// Guards against counts that miss a repeat, and against headers that are not shown.
+/// Guards against repeated requests that are counted once, and against request headers
+/// that are not recorded.
 #[test]
-fn runs_are_counted_by_tag_or_body() {
-    let service = start();
+fn requests_are_counted_by_tag_or_body() {
+    let service = start_service();
     let tagged = "PATCH /any/path HTTP/1.1\r\nx-request-tag: a\r\nx-other: v";
-    ask(&service, tagged, "one").unwrap();
-    ask(&service, tagged, "two").unwrap();
-    ask(&service, "POST / HTTP/1.1", "b").unwrap();
+    send_request(&service, tagged, "one").unwrap();
+    send_request(&service, tagged, "two").unwrap();
+    send_request(&service, "POST / HTTP/1.1", "b").unwrap();
     let runs = service.runs();
     assert_eq!((runs.counts["a"], runs.counts["b"]), (2, 1));
     assert_eq!(runs.headers["x-other"], ["v"]);
-    let told = ask(&service, "GET /standin/runs HTTP/1.1", "").unwrap();
+    let report = send_request(&service, "GET /standin/runs HTTP/1.1", "").unwrap();
     assert!(
-        told.starts_with("HTTP/1.1 200") && told.contains("\"a\":2"),
-        "{told}"
+        report.starts_with("HTTP/1.1 200") && report.contains("\"a\":2"),
+        "{report}"
     );
     service.close();
 }
 
-/// Guards against a lost answer whose request was not carried out.
+/// Guards against `lose_answers` dropping the request itself: it must be handled, and only
+/// its response be lost.
 #[test]
-fn lost_answer_still_runs() {
-    let service = start();
+fn request_with_lost_response_is_handled() {
+    let service = start_service();
     service.faults().set(Faults {
         lose_answers: 1,
         ..Faults::default()
     });
-    let answer = ask(&service, "POST / HTTP/1.1", "x").unwrap_or_default();
-    assert_eq!(answer, "");
+    let response = send_request(&service, "POST / HTTP/1.1", "x").unwrap_or_default();
+    assert_eq!(response, "");
     assert_eq!(service.runs().counts["x"], 1);
     service.close();
 }
 
-/// Guards against a service that cannot be brought back after it was down.
+/// Guards against a server that is not reachable again at its address after it refused
+/// connections. Guards also against one that handles requests while it closes connections,
+/// or cannot be controlled over HTTP then.
 #[test]
-fn service_comes_back_on_the_same_address() {
-    let service = start();
-    let order = r#"{"down":"refuse","down_for_ms":200}"#;
-    let answer = ask(&service, "POST /standin/faults HTTP/1.1", order).unwrap();
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-    let deadline = Instant::now() + GENEROUS;
-    while ask(&service, "POST / HTTP/1.1", "x")
+fn recovers_on_the_same_address() {
+    let service = start_service();
+    let faults = r#"{"down":"refuse","down_for_ms":200}"#;
+    let response =
+        send_request(&service, "POST /standin/faults HTTP/1.1", faults).unwrap();
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
+    let deadline = Instant::now() + TIMEOUT;
+    while send_request(&service, "POST / HTTP/1.1", "x")
         .unwrap_or_default()
         .is_empty()
     {
-        assert!(Instant::now() < deadline, "the service did not come back");
+        assert!(Instant::now() < deadline, "the service is still down");
     }
     service.faults().set(Faults {
         down: Down::Close,
         ..Faults::default()
     });
     assert_eq!(
-        ask(&service, "POST / HTTP/1.1", "y").unwrap_or_default(),
+        send_request(&service, "POST / HTTP/1.1", "y").unwrap_or_default(),
         ""
     );
     assert!(!service.runs().counts.contains_key("y"));
-    let faults = ask(&service, "GET /standin/faults HTTP/1.1", "").unwrap();
+    let faults = send_request(&service, "GET /standin/faults HTTP/1.1", "").unwrap();
     assert!(faults.contains("\"down\":\"close\""), "{faults}");
     service.close();
 }
 
-/// Guards against misspelt faults that are silently ignored.
+/// Guards against misspelt fault names that are silently ignored, so that a test would run
+/// without its fault.
 #[test]
-fn unknown_fault_is_refused() {
-    let service = start();
-    let answer = ask(&service, "POST /standin/faults HTTP/1.1", r#"{"lose":1}"#).unwrap();
-    assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
+fn unknown_fault_is_rejected() {
+    let service = start_service();
+    let response =
+        send_request(&service, "POST /standin/faults HTTP/1.1", r#"{"lose":1}"#).unwrap();
+    assert!(response.starts_with("HTTP/1.1 400"), "{response}");
     service.close();
 }
