--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -23,7 +23,8 @@
 
 #[derive(Debug, Default)]
 struct Block {
-    /// Value of [`PrefixCache::use_counter`] at the last use.
+    /// Value of [`PrefixCache::use_counter`] at the last use. 0 for a new block, which no
+    /// used block has.
     last_used: u64,
     /// Cache tags of the calls that stored the block. Empty if they had none.
     tags: BTreeSet<String>,
@@ -37,7 +38,8 @@
     /// `stored`, `evicted` or `released`.
     kind: &'static str,
     tag: String,
-    /// Number of tokens that were stored, evicted or released.
+    /// Number of tokens that were stored, evicted or released. A `stored` event also counts
+    /// blocks that were cached before.
     tokens: u64,
     /// Compared with `cache_event_lag_ms` of the faults.
     #[serde(skip)]
@@ -50,16 +52,17 @@
 #[derive(Debug)]
 pub(crate) struct PrefixCache {
     capacity_blocks: usize,
-    /// Increased by each use of a block.
+    /// Number of uses of blocks so far. Gives each use a unique key in `by_last_use`.
     use_counter: u64,
     blocks: HashMap<BlockHash, Block>,
     by_last_use: BTreeMap<u64, BlockHash>,
     events: Vec<CacheEvent>,
     /// Sequence number of the next event.
-    next_event: u64,
+    next_seq: u64,
 }
 
 impl PrefixCache {
+    /// An empty cache. The capacity is rounded down to full blocks.
     pub(crate) fn new(capacity_tokens: u64) -> PrefixCache {
         PrefixCache {
             capacity_blocks: (capacity_tokens / BLOCK_TOKENS) as usize,
@@ -67,7 +70,7 @@
             blocks: HashMap::new(),
             by_last_use: BTreeMap::new(),
             events: Vec::new(),
-            next_event: 1,
+            next_seq: 1,
         }
     }
 
@@ -91,7 +94,7 @@
         hashes.iter().for_each(|hash| self.touch(*hash, Some(tag)));
         self.record_event("stored", tag, hashes.len());
         while self.blocks.len() > self.capacity_blocks {
-            self.evict_oldest();
+            self.evict_least_recently_used();
         }
     }
 
@@ -108,7 +111,7 @@
     }
 
     /// Evicts the least recently used block. Records one event for each of its tags.
-    fn evict_oldest(&mut self) {
+    fn evict_least_recently_used(&mut self) {
         let oldest = self.by_last_use.pop_first();
         let block = oldest.and_then(|(_, hash)| self.blocks.remove(&hash));
         for tag in block.unwrap_or_default().tags {
@@ -119,7 +122,7 @@
     /// Removes `tag` from all blocks and drops those that then have no tag. Returns the
     /// number of dropped tokens.
     pub(crate) fn release(&mut self, tag: &str) -> u64 {
-        let before = self.blocks.len();
+        let blocks_before = self.blocks.len();
         let by_last_use = &mut self.by_last_use;
         self.blocks.retain(|_, block| {
             let unused = block.tags.remove(tag) && block.tags.is_empty();
@@ -128,7 +131,7 @@
             }
             !unused
         });
-        let released = before - self.blocks.len();
+        let released = blocks_before - self.blocks.len();
         self.record_event("released", tag, released);
         released as u64 * BLOCK_TOKENS
     }
@@ -153,13 +156,13 @@
             self.events.drain(..MAX_STORED_EVENTS / 2);
         }
         self.events.push(CacheEvent {
-            seq: self.next_event,
+            seq: self.next_seq,
             kind,
             tag: tag.to_string(),
             tokens: blocks as u64 * BLOCK_TOKENS,
             recorded_at: Instant::now(),
         });
-        self.next_event += 1;
+        self.next_seq += 1;
     }
 
     /// The events from sequence number `from` on that are at least `lag_ms` old, without
--- a/crates/standin/src/engine/models.rs
+++ b/crates/standin/src/engine/models.rs
@@ -45,8 +45,9 @@
 /// began.
 #[derive(Debug)]
 pub(super) struct Models {
+    /// Time from the order until weights are loaded.
     load_time: Duration,
-    /// Each with the time at which it is loaded.
+    /// Each entry with the time from which it counts as loaded.
     weights: Vec<(Weights, Instant)>,
 }
 
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Begins or undoes the load that an order asks for. Ignores orders of other kinds.
+    /// Loads or unloads the weights that an order names. Ignores orders of other kinds.
     pub(super) fn apply(&mut self, order: &Value) {
         let Ok(order) = ModelOrder::deserialize(order) else {
             return;
--- a/crates/standin/src/gateway.rs
+++ b/crates/standin/src/gateway.rs
@@ -1,9 +1,9 @@
 //! A stand-in for the etcd store: the JSON gateway of the etcd v3 API over a
 //! [`MemoryStore`].
 //!
-//! Implements only the part of the API that jayreel uses: ranges of a single key or a
-//! prefix, puts, transactions that compare the `mod_revision`, compaction, leases and
-//! watches. Other requests are rejected with an error.
+//! Implements a part of the API: ranges of a single key or a prefix, puts, transactions
+//! that compare the `mod_revision`, compaction, leases and watches. Other paths and
+//! operations are rejected with an error; unknown fields of a request are ignored.
 
 use std::io;
 use std::net::SocketAddr;
@@ -43,7 +43,7 @@
 }
 
 impl StoreGateway {
-    /// Serves `store` at `address` (port 0: chosen by the system) until closed.
+    /// Binds `address` (port 0: chosen by the system) and serves `store` until closed.
     ///
     /// # Errors
     ///
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -77,7 +77,7 @@
             .long("model")
             .value_name("NAME")
             .action(ArgAction::Append)
-            .help("model to serve; without this, any name is accepted"),
+            .help("model to serve, may be repeated; without this, any name is accepted"),
     )
     .arg(number_arg(
         "slots",
--- a/crates/standin/src/wire.rs
+++ b/crates/standin/src/wire.rs
@@ -23,12 +23,16 @@
 #[serde(default)]
 pub(crate) struct RangeRequest {
     pub(crate) key: String,
+    /// Empty for the single `key`, else the end of its prefix, see [`is_prefix_end`].
     pub(crate) range_end: String,
     /// Largest number of entries in the response. 0 means no limit.
     #[serde(deserialize_with = "number")]
     pub(crate) limit: i64,
+    /// `DESCEND` reverses the order. Other values are ignored.
     pub(crate) sort_order: String,
+    /// `MOD` sorts by `mod_revision`. Other values leave the entries sorted by key.
     pub(crate) sort_target: String,
+    /// Whether to omit the values.
     pub(crate) keys_only: bool,
 }
 
@@ -37,11 +41,12 @@
 pub(crate) struct PutRequest {
     pub(crate) key: String,
     pub(crate) value: String,
+    /// The lease to bind the key to. 0 means none.
     #[serde(deserialize_with = "number")]
     pub(crate) lease: i64,
 }
 
-/// A delete of a single key.
+/// A delete of a single key. A `range_end` is ignored.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct KeyRequest {
@@ -63,7 +68,9 @@
 #[serde(default)]
 pub(crate) struct Compare {
     pub(crate) key: String,
+    /// The compared field. Only `MOD` is supported.
     pub(crate) target: String,
+    /// The comparison operator. Only `EQUAL`, the default, is supported.
     pub(crate) result: String,
     #[serde(alias = "modRevision", deserialize_with = "number")]
     pub(crate) mod_revision: i64,
@@ -74,10 +81,12 @@
 pub(crate) struct TxnRequest {
     pub(crate) compare: Vec<Compare>,
     pub(crate) success: Vec<Operation>,
+    /// Must be empty: operations for a failed comparison are not supported.
     pub(crate) failure: Vec<Operation>,
 }
 
-/// The request to grant, renew or revoke a lease. Only a grant has a `ttl`, in seconds.
+/// The request to grant, renew or revoke a lease. A grant uses only `ttl`, in seconds, the
+/// others only `id`.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct LeaseRequest {
@@ -90,6 +99,7 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct CompactRequest {
+    /// Revision up to which, inclusively, the history is dropped.
     #[serde(deserialize_with = "number")]
     pub(crate) revision: i64,
 }
@@ -98,6 +108,7 @@
 #[serde(default)]
 pub(crate) struct WatchCreate {
     pub(crate) key: String,
+    /// The end of the prefix `key` watches the prefix, any other value the single key.
     pub(crate) range_end: String,
     /// First revision to report. 0 means the one after the current revision.
     #[serde(deserialize_with = "number")]
