--- a/crates/standin/src/engine/chat.rs
+++ b/crates/standin/src/engine/chat.rs
@@ -1,4 +1,5 @@
-//! Chat completions: requests, the run of one call, and the two forms of the answer.
+//! Chat completions: parses the request, spends the time of the call, and sends the
+//! response either complete or as a stream of server-sent events.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,22 +11,25 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use crate::answer::{Answer, Ask};
 use crate::engine::cache::TOKEN_BYTES;
 use crate::engine::{CACHE_TAG_HEADER, EngineState};
+use crate::http::{HttpRequest, HttpResponse};
 use crate::service::CancelGuard;
 
-/// Pieces of a stream that wait for a slow client before the call stops generating.
-const STREAM_BUFFER: usize = 16;
+/// Number of events of a stream that are buffered for a slow client. When the buffer is
+/// full, the call stops generating until the client reads on.
+const STREAM_BUFFER_EVENTS: usize = 16;
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct StreamOptions {
+    /// Whether an event with the usage is sent before the final `[DONE]`.
     include_usage: bool,
 }
 
 #[derive(Debug, Deserialize)]
 struct Message {
+    /// A string, or an array of parts of which those with a `text` count.
     #[serde(default)]
     content: Value,
 }
@@ -40,56 +44,69 @@
     stream: bool,
     #[serde(default)]
     stream_options: StreamOptions,
-    /// Lower runs first.
+    /// Calls with a lower value get a slot first.
     #[serde(default)]
     priority: i64,
+    /// Whether to generate exactly `max_tokens`.
     #[serde(default)]
     ignore_eos: bool,
 }
 
-/// One call that is being answered.
+/// A call that is waiting for a slot or running.
 struct Call {
     state: Arc<EngineState>,
     id: String,
     model: String,
-    tag: String,
+    cache_tag: String,
+    /// The text of all messages, and in the end also the generated text.
     prompt: Vec<u8>,
+    /// With the tokens of the chat template.
     prompt_tokens: u64,
+    /// Number of prompt tokens that were found in the prefix cache.
     cached_tokens: u64,
+    /// Number of tokens to generate. It is fixed when the call arrives.
     generated_tokens: u64,
     finish_reason: &'static str,
     priority: i64,
 }
 
-pub(super) fn models(state: &EngineState) -> Answer {
+/// The response to `GET /v1/models`: the models of the settings.
+pub(super) fn list_models(state: &EngineState) -> HttpResponse {
     let data: Vec<Value> = state
         .settings
         .models
         .iter()
         .map(|id| json!({ "id": id, "object": "model", "owned_by": "standin" }))
         .collect();
-    Answer::json(StatusCode::OK, &json!({ "object": "list", "data": data }))
+    HttpResponse::json(StatusCode::OK, &json!({ "object": "list", "data": data }))
 }
 
-pub(super) async fn complete(state: &Arc<EngineState>, ask: Ask) -> Answer {
-    let request = match serde_json::from_slice::<ChatRequest>(&ask.body) {
+/// Handles `POST /v1/chat/completions`. Only calls for served models are recorded.
+pub(super) async fn handle_completion(
+    state: &Arc<EngineState>,
+    http_request: HttpRequest,
+) -> HttpResponse {
+    let request = match serde_json::from_slice::<ChatRequest>(&http_request.body) {
         Ok(request) => request,
-        Err(error) => return Answer::error(StatusCode::BAD_REQUEST, &error.to_string()),
+        Err(error) => {
+            return HttpResponse::error(StatusCode::BAD_REQUEST, &error.to_string());
+        }
     };
     if !state.serves(&request.model) {
-        return Answer::error(StatusCode::NOT_FOUND, "the model does not exist");
+        return HttpResponse::error(StatusCode::NOT_FOUND, "the model does not exist");
     }
-    state.recorder.record(&ask);
-    let call = Call::new(state, &ask, &request);
+    state.recorder.record(&http_request);
+    let call = Call::new(state, &http_request, &request);
     if !request.stream {
-        return call.whole().await;
+        return call.respond_whole().await;
     }
-    let (pieces, answer) = mpsc::channel(STREAM_BUFFER);
-    tokio::spawn(call.stream_or_cancel(pieces, request.stream_options.include_usage));
-    Answer::stream("text/event-stream", answer)
+    let (sender, chunks) = mpsc::channel(STREAM_BUFFER_EVENTS);
+    tokio::spawn(call.stream_or_cancel(sender, request.stream_options.include_usage));
+    HttpResponse::stream("text/event-stream", chunks)
 }
 
-fn text_of(messages: &[Message]) -> Vec<u8> {
+/// The text of all messages, without roles and separators.
+fn prompt_text(messages: &[Message]) -> Vec<u8> {
     let mut text = Vec::new();
     for message in messages {
         match &message.content {
@@ -104,27 +121,37 @@
     text
 }
 
-/// The text of the generated token at `index`.
-fn token(index: u64) -> String {
+/// The made-up text of the generated token at `index`. It has [`TOKEN_BYTES`] bytes, as
+/// the prefix cache assumes.
+fn token_text(index: u64) -> String {
     format!("{:03x} ", index % 0xfff)
 }
 
 impl Call {
-    fn new(state: &Arc<EngineState>, ask: &Ask, request: &ChatRequest) -> Call {
+    fn new(
+        state: &Arc<EngineState>,
+        http_request: &HttpRequest,
+        request: &ChatRequest,
+    ) -> Call {
         let settings = &state.settings;
-        let prompt = text_of(&request.messages);
-        let template = settings.template_tokens * request.messages.len() as u64;
-        let limit = request.max_tokens.unwrap_or(settings.answer_tokens);
+        let prompt = prompt_text(&request.messages);
+        let template_tokens = settings.template_tokens * request.messages.len() as u64;
+        let max_tokens = request.max_tokens.unwrap_or(settings.answer_tokens);
         let (generated_tokens, finish_reason) = match request.ignore_eos {
-            false if limit > settings.answer_tokens => (settings.answer_tokens, "stop"),
-            _ => (limit, "length"),
+            false if max_tokens > settings.answer_tokens => {
+                (settings.answer_tokens, "stop")
+            }
+            _ => (max_tokens, "length"),
         };
         Call {
             state: Arc::clone(state),
             id: format!("chatcmpl-{}", state.batch.next_id()),
             model: request.model.clone(),
-            tag: ask.header(CACHE_TAG_HEADER).unwrap_or("").to_string(),
-            prompt_tokens: prompt.len().div_ceil(TOKEN_BYTES) as u64 + template,
+            cache_tag: http_request
+                .header(CACHE_TAG_HEADER)
+                .unwrap_or("")
+                .to_string(),
+            prompt_tokens: prompt.len().div_ceil(TOKEN_BYTES) as u64 + template_tokens,
             prompt,
             cached_tokens: 0,
             generated_tokens,
@@ -133,7 +160,7 @@
         }
     }
 
-    /// Spends the time of the prompt tokens that are not cached, then caches the prompt.
+    /// Waits for the time that the uncached prompt tokens take, then caches the prompt.
     async fn prefill(&mut self) {
         let (model, prompt) = (&self.model, &self.prompt);
         self.cached_tokens = self.state.with_cache(|cache| cache.lookup(model, prompt));
@@ -141,24 +168,26 @@
         let us = tokens * self.state.settings.prefill_us_per_token;
         tokio::time::sleep(Duration::from_micros(us)).await;
         self.state
-            .with_cache(|cache| cache.store(model, prompt, &self.tag));
+            .with_cache(|cache| cache.store(model, prompt, &self.cache_tag));
     }
 
-    /// The time at which the token after one at `previous` is due.
-    fn due_after(&self, previous: Instant) -> Instant {
+    /// The time at which the next token is due, if the one before was due at `previous`.
+    fn next_token_due(&self, previous: Instant) -> Instant {
         let settings = &self.state.settings;
-        let others = self.state.batch.running().saturating_sub(1) as u64;
-        let us = settings.token_us + settings.batch_slowdown_us * others;
+        let other_calls = self.state.batch.running().saturating_sub(1) as u64;
+        let us = settings.token_us + settings.batch_slowdown_us * other_calls;
         previous + Duration::from_micros(us)
     }
 
-    fn finish(&mut self, answer: &str) {
-        self.prompt.extend_from_slice(answer.as_bytes());
+    /// Caches the prompt followed by the generated text.
+    fn cache_conversation(&mut self, content: &str) {
+        self.prompt.extend_from_slice(content.as_bytes());
         let (model, text) = (&self.model, &self.prompt);
         self.state
-            .with_cache(|cache| cache.store(model, text, &self.tag));
+            .with_cache(|cache| cache.store(model, text, &self.cache_tag));
     }
 
+    /// The `usage` object of the response.
     fn usage(&self) -> Value {
         json!({
             "prompt_tokens": self.prompt_tokens,
@@ -168,85 +197,93 @@
         })
     }
 
-    async fn whole(mut self) -> Answer {
+    /// Runs the call and returns its complete response. If the future is dropped, the call
+    /// is recorded as cancelled and its slot is freed.
+    async fn respond_whole(mut self) -> HttpResponse {
         let state = Arc::clone(&self.state);
         let guard = CancelGuard::new(&state.recorder);
-        let _slot = state.batch.enter(self.priority).await;
+        let _slot = state.batch.acquire(self.priority).await;
         self.prefill().await;
         let mut due = Instant::now();
         let mut content = String::new();
         for index in 0..self.generated_tokens {
-            due = self.due_after(due);
+            due = self.next_token_due(due);
             tokio::time::sleep_until(due).await;
-            content.push_str(&token(index));
+            content.push_str(&token_text(index));
         }
-        self.finish(&content);
+        self.cache_conversation(&content);
         guard.disarm();
         let message = json!({ "role": "assistant", "content": content });
-        let answer = json!({ "id": self.id, "object": "chat.completion", "created": 0,
+        let response = json!({ "id": self.id, "object": "chat.completion", "created": 0,
             "model": self.model, "usage": self.usage(), "choices": [{ "index": 0,
             "message": message, "finish_reason": self.finish_reason }] });
-        Answer::json(StatusCode::OK, &answer)
+        HttpResponse::json(StatusCode::OK, &response)
     }
 
-    async fn stream_or_cancel(self, pieces: mpsc::Sender<Bytes>, with_usage: bool) {
+    /// Runs a streamed call until it ends or its client closes the connection. The latter
+    /// is recorded as a cancellation.
+    async fn stream_or_cancel(self, sender: mpsc::Sender<Bytes>, include_usage: bool) {
         let state = Arc::clone(&self.state);
         let guard = CancelGuard::new(&state.recorder);
-        let sender = pieces.clone();
         tokio::select! {
             biased;
-            sent = self.stream(sender, with_usage) => if sent.is_some() {
+            result = self.stream(sender.clone(), include_usage) => if result.is_some() {
                 guard.disarm();
             },
-            _ = pieces.closed() => {}
+            _ = sender.closed() => {}
         }
     }
 
+    /// Runs the call and sends its events to `sender`. Returns `None` if the client closed
+    /// the connection before all were sent.
     async fn stream(
         mut self,
-        pieces: mpsc::Sender<Bytes>,
-        with_usage: bool,
+        sender: mpsc::Sender<Bytes>,
+        include_usage: bool,
     ) -> Option<()> {
         let state = Arc::clone(&self.state);
-        let slot = state.batch.enter(self.priority).await;
+        let slot = state.batch.acquire(self.priority).await;
         self.prefill().await;
         let mut due = Instant::now();
         let mut content = String::new();
         for index in 0..self.generated_tokens {
-            due = self.due_after(due);
+            due = self.next_token_due(due);
             tokio::time::sleep_until(due).await;
-            let text = token(index);
+            let text = token_text(index);
             let delta = json!({ "role": "assistant", "content": text });
             content.push_str(&text);
-            pieces.send(self.chunk(delta, None)).await.ok()?;
+            sender.send(self.chunk(delta, None)).await.ok()?;
         }
-        self.finish(&content);
+        self.cache_conversation(&content);
         drop(slot);
         let last = self.chunk(json!({}), Some(self.finish_reason));
-        pieces.send(last).await.ok()?;
-        if with_usage {
-            let mut chunk = self.frame(json!([]));
+        sender.send(last).await.ok()?;
+        if include_usage {
+            let mut chunk = self.chunk_value(json!([]));
             chunk["usage"] = self.usage();
-            pieces.send(event(&chunk)).await.ok()?;
+            sender.send(sse_event(&chunk)).await.ok()?;
         }
-        pieces
+        sender
             .send(Bytes::from_static(b"data: [DONE]\n\n"))
             .await
             .ok()
     }
 
+    /// The event of one `chat.completion.chunk` with a single choice.
     fn chunk(&self, delta: Value, finish_reason: Option<&str>) -> Bytes {
         let choice =
             json!({ "index": 0, "delta": delta, "finish_reason": finish_reason });
-        event(&self.frame(json!([choice])))
+        sse_event(&self.chunk_value(json!([choice])))
     }
 
-    fn frame(&self, choices: Value) -> Value {
+    /// The JSON of a `chat.completion.chunk`.
+    fn chunk_value(&self, choices: Value) -> Value {
         json!({ "id": self.id, "object": "chat.completion.chunk", "created": 0,
             "model": self.model, "choices": choices })
     }
 }
 
-fn event(value: &Value) -> Bytes {
+/// Encodes a server-sent event.
+fn sse_event(value: &Value) -> Bytes {
     format!("data: {value}\n\n").into()
 }
