--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,5 +1,7 @@
-//! `jayreel-bench`: measurements on one machine, with stand-ins for engines and store.
-//! Results go to standard output. None of this runs in CI.
+//! `jayreel-bench`: benchmarks that run on one machine, with model engines and the
+//! platform's store simulated by `jayreel-standin`.
+//!
+//! Each subcommand prints its results to standard output. CI does not run any of them.
 
 mod overhead;
 mod overhead_fleet;
--- a/crates/bench/src/overhead_load.rs
+++ b/crates/bench/src/overhead_load.rs
@@ -1,4 +1,5 @@
-//! An open-loop load generator with a bounded number of callers and requests.
+//! An open-loop load generator: requests are due at a fixed rate, regardless of how fast
+//! earlier ones are answered. The numbers of caller threads and of requests are bounded.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -10,66 +11,68 @@
 
 use crate::overhead_fleet::CUSTOMER_KEY;
 
-/// Stack of a caller's thread.
+/// Stack size of a caller thread. Up to 500 of these threads run at the same time.
 const CALLER_STACK_BYTES: usize = 512 * 1024;
 
-/// Requests at a fixed rate.
+/// Parameters of one run of the load generator.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// Where to.
-    pub to: SocketAddr,
+    /// Address that the requests are sent to: an instance or an engine.
+    pub target: SocketAddr,
     /// Requests per second.
     pub rate: f64,
-    /// Number of requests.
+    /// Total number of requests.
     pub requests: u64,
-    /// Threads that send them. A request that finds no free thread is sent late, and its
-    /// latency counts from when it was due.
+    /// Caller threads. A request that is due while all threads are busy is sent late. Its
+    /// latency still counts from when it was due.
     pub callers: usize,
-    /// Time from the start to the first request.
+    /// Delay from the call of [`run`] until the first request is due.
     pub offset: Duration,
-    /// Whether answers are streamed.
+    /// Whether the requests ask for a streamed response.
     pub stream: bool,
 }
 
-/// What became of the requests.
+/// Latencies and failures of the requests of one run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Time from when a request was due to the end of its answer, in microseconds.
-    pub whole_us: Histogram<u64>,
-    /// Time to the first byte of the body, in microseconds.
-    pub first_us: Histogram<u64>,
-    /// Requests without a complete answer of status 200.
+    /// Time from when a request was due to the end of its response, in microseconds.
+    pub total_us: Histogram<u64>,
+    /// Time from when a request was due to the first byte of the response body, in
+    /// microseconds.
+    pub first_byte_us: Histogram<u64>,
+    /// Requests without a complete response of status 200. A caller thread that panicked
+    /// counts as one.
     pub failed: u64,
-    /// Time from the first to the last request.
+    /// Time from when the first request was due until all responses had ended.
     pub took: Duration,
 }
 
 impl Outcome {
     fn new() -> Outcome {
         Outcome {
-            whole_us: histogram(),
-            first_us: histogram(),
+            total_us: histogram(),
+            first_byte_us: histogram(),
             failed: 0,
             took: Duration::ZERO,
         }
     }
 
-    /// Adds the requests of another outcome.
-    pub fn add(&mut self, other: &Outcome) {
-        // All histograms have the same range, so this cannot fail.
-        let _ = self.whole_us.add(&other.whole_us);
-        let _ = self.first_us.add(&other.first_us);
+    /// Adds the latencies and failures of another outcome. `took` is not changed.
+    pub fn merge(&mut self, other: &Outcome) {
+        // Merging histograms fails only if their ranges differ, and all have the same range.
+        let _ = self.total_us.add(&other.total_us);
+        let _ = self.first_byte_us.add(&other.first_byte_us);
         self.failed += other.failed;
     }
 
-    /// A quantile of the whole time in milliseconds.
-    pub fn whole_ms(&self, quantile: f64) -> f64 {
-        self.whole_us.value_at_quantile(quantile) as f64 / 1_000.0
+    /// A quantile of [`Outcome::total_us`], converted to milliseconds.
+    pub fn total_ms(&self, quantile: f64) -> f64 {
+        self.total_us.value_at_quantile(quantile) as f64 / 1_000.0
     }
 
-    /// A quantile of the time to the first byte in milliseconds.
-    pub fn first_ms(&self, quantile: f64) -> f64 {
-        self.first_us.value_at_quantile(quantile) as f64 / 1_000.0
+    /// A quantile of [`Outcome::first_byte_us`], converted to milliseconds.
+    pub fn first_byte_ms(&self, quantile: f64) -> f64 {
+        self.first_byte_us.value_at_quantile(quantile) as f64 / 1_000.0
     }
 }
 
@@ -77,7 +80,7 @@
     Histogram::new_with_bounds(1, 120_000_000, 3).expect("the bounds are valid")
 }
 
-/// The body of a chat completion.
+/// Request body of a chat completion.
 pub fn chat_body(stream: bool) -> String {
     json!({
         "model": "test-model",
@@ -87,7 +90,7 @@
     .to_string()
 }
 
-/// Sends the requests and waits for all answers.
+/// Sends all requests and waits for their responses.
 pub fn run(load: Load) -> Outcome {
     let next = AtomicU64::new(0);
     let start = Instant::now() + load.offset;
@@ -103,7 +106,7 @@
             .collect();
         for caller in callers {
             match caller.join() {
-                Ok(outcome) => total.add(&outcome),
+                Ok(outcome) => total.merge(&outcome),
                 Err(_) => total.failed += 1,
             }
         }
@@ -118,7 +121,7 @@
         .timeout_global(Some(Duration::from_secs(60)))
         .build()
         .into();
-    let url = format!("http://{}/v1/chat/completions", load.to);
+    let url = format!("http://{}/v1/chat/completions", load.target);
     let body = chat_body(load.stream);
     let mut outcome = Outcome::new();
     loop {
@@ -130,8 +133,8 @@
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
         match send(&agent, &url, &body, due) {
             Some((first, whole)) => {
-                let _ = outcome.first_us.record(first.as_micros() as u64);
-                let _ = outcome.whole_us.record(whole.as_micros() as u64);
+                let _ = outcome.first_byte_us.record(first.as_micros() as u64);
+                let _ = outcome.total_us.record(whole.as_micros() as u64);
             }
             None => outcome.failed += 1,
         }
--- a/crates/bench/src/reducer_state.rs
+++ b/crates/bench/src/reducer_state.rs
@@ -1,4 +1,4 @@
-//! A reducer with a state of a given size, and the events that are timed on it.
+//! Builds a reducer with a state of a given size, and times events on it.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -21,57 +21,62 @@
 use jayreel_scheduler::{Effect, Event, SchedulerSettings};
 use serde::{Deserialize, Serialize};
 
-/// Rate and burst of each customer, so that no call waits for its rate.
+/// Rate and burst of each customer. Too large for a call to wait because of a rate limit.
 const UNLIMITED_MREQ: u64 = 1_000_000_000;
-/// Slots of each worker, so that each of 690 instances may use some.
+/// Slots of each worker. Large enough for each of 690 instances to be allowed some of them.
 const WORKER_SLOTS: u32 = 10_000;
-/// Longest history of a program: one hash for each message.
-const PREFIXES: u64 = 40;
-/// Times that an event is timed. The state changes little in between.
+/// Prefix hashes of a call. There is one for each message, so this is the longest history of a
+/// program.
+const PREFIX_HASHES: u64 = 40;
+/// How often most events are timed. So few events hardly change the size of the state.
 const REPETITIONS: usize = 100;
-/// Repetitions of events that take milliseconds.
-const SLOW_REPETITIONS: usize = 20;
-/// Repetitions of events that need a long preparation.
-const FEW_REPETITIONS: usize = 5;
+/// How often events are timed that take milliseconds.
+const SLOW_EVENT_REPETITIONS: usize = 20;
+/// How often events are timed whose preparation takes long.
+const SLOW_SETUP_REPETITIONS: usize = 5;
 
-/// Sizes of the parts of the state.
+/// Number of items in each part of the state. Printed through `Debug` at the head of the
+/// report.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Size {
-    /// Programs owned.
+    /// Open programs, all owned by this instance.
     pub programs: u64,
-    /// Workers in the configuration.
+    /// Model engines in the configuration.
     pub workers: u64,
     /// Customers, each with one key.
     pub customers: u64,
     /// Other live instances.
     pub peers: u64,
-    /// Calls that wait for a full worker of their model.
+    /// Calls that wait because the only worker of their model has no free slot.
     pub waiting: u64,
 }
 
-/// Median and slowest time of an event.
+/// Times that the reducer took for one kind of event.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Timing {
-    /// Name of the event.
+    /// Label of the event in the printed table.
     pub event: String,
-    /// Median in microseconds.
+    /// Median over all repetitions, in microseconds.
     pub median_us: f64,
-    /// Slowest in microseconds.
+    /// Slowest repetition, in microseconds.
     pub slowest_us: f64,
 }
 
-/// A reducer and what is needed to send it valid events.
+/// A reducer, together with the data needed to construct valid events for its state.
 pub struct State {
     reducer: Reducer,
     size: Size,
     now_ms: u64,
     next_request: u64,
-    tokens: Vec<(u64, String)>,
+    /// Customer and token of each open program.
+    program_tokens: Vec<(u64, String)>,
     configuration: Configuration,
+    /// Store version of the last record of home weights given to the reducer.
     home_version: u64,
 }
 
-fn own() -> Incarnation {
+/// The incarnation of the instance whose reducer is measured.
+fn own_incarnation() -> Incarnation {
     incarnation("entry-0000")
 }
 
@@ -82,86 +87,92 @@
     }
 }
 
-fn peer(index: u64) -> String {
+fn peer_name(index: u64) -> String {
     format!("entry-{:04}", index + 1)
 }
 
-fn worker(index: u64) -> String {
+fn worker_name(index: u64) -> String {
     format!("worker-{index:04}")
 }
 
-fn key(customer: u64) -> KeyHash {
+fn customer_key(customer: u64) -> KeyHash {
     KeyHash::of_key(&format!("key-{customer}"))
 }
 
-fn zone(index: u64) -> String {
+fn zone_name(index: u64) -> String {
     format!("zone-{:02}", index % 13)
 }
 
 impl State {
-    /// Builds the state through events alone.
+    /// Builds the state by applying events to a new reducer, as in a running instance.
     ///
     /// # Errors
     ///
-    /// If the reducer refuses something that the state needs.
+    /// If the reducer refuses a program or call, or does not become ready.
     pub fn new(size: Size) -> eyre::Result<State> {
-        let scheduler = SchedulerSettings::new(own(), zone(0), 7);
-        let fleet =
-            FleetSettings::new(own(), zone(0), "127.0.0.1:1", TokenKey::derive("bench"));
+        let scheduler = SchedulerSettings::new(own_incarnation(), zone_name(0), 7);
+        let fleet = FleetSettings::new(
+            own_incarnation(),
+            zone_name(0),
+            "127.0.0.1:1",
+            TokenKey::derive("bench"),
+        );
         let mut state = State {
             reducer: Reducer::new(scheduler, fleet, 1_700_000_000_000),
             size,
             now_ms: 1_000,
             next_request: 1,
-            tokens: Vec::new(),
+            program_tokens: Vec::new(),
             configuration: configuration(size),
             home_version: 0,
         };
-        // Programs are opened before the rest of the state makes events slow.
-        let first = Size {
+        // Opens the programs in a small fleet with one worker, since events take longer once
+        // the rest of the state has been added.
+        let opening_size = Size {
             workers: 1,
             peers: 0,
             ..size
         };
-        state.configure(configuration(first));
-        state.take_home()?;
+        state.configure(configuration(opening_size));
+        state.acquire_home_weight()?;
         state.open_programs()?;
         state.configuration.revision += 1;
-        let full = state.configuration.clone();
-        state.configure(full);
-        state.read_registrations();
-        state.hear_peers();
-        state.add_waiting()?;
+        let full_configuration = state.configuration.clone();
+        state.configure(full_configuration);
+        state.apply_registrations();
+        state.receive_heartbeats();
+        state.add_waiting_calls()?;
         Ok(state)
     }
 
     fn configure(&mut self, configuration: Configuration) {
         let event = Event::ConfigurationChanged(Arc::new(configuration));
-        self.schedule(event);
+        self.apply_scheduler_event(event);
     }
 
     fn apply(&mut self, input: Input) -> Vec<Output> {
         self.reducer.apply(self.now_ms, input)
     }
 
-    fn schedule(&mut self, event: Event) -> Vec<Output> {
+    fn apply_scheduler_event(&mut self, event: Event) -> Vec<Output> {
         self.apply(Input::Schedule(event))
     }
 
-    fn fleet(&mut self, event: FleetEvent) -> Vec<Output> {
+    fn apply_fleet_event(&mut self, event: FleetEvent) -> Vec<Output> {
         self.apply(Input::Fleet(event))
     }
 
-    /// Gets the whole home weight, as the first instance of a fleet does.
-    fn take_home(&mut self) -> eyre::Result<()> {
+    /// Acquires the whole home weight, as the first instance of a fleet does. The reducer is
+    /// not ready before it has a home share.
+    fn acquire_home_weight(&mut self) -> eyre::Result<()> {
         let sent_at_ms = self.now_ms;
-        self.fleet(FleetEvent::RegistrationRenewed { sent_at_ms });
-        self.fleet(FleetEvent::RegistrationsRead {
+        self.apply_fleet_event(FleetEvent::RegistrationRenewed { sent_at_ms });
+        self.apply_fleet_event(FleetEvent::RegistrationsRead {
             sent_at_ms,
-            registered: vec![registered("entry-0000", 0)],
+            registered: vec![registered_instance("entry-0000", 0)],
             own_lease: Some(1),
         });
-        let outputs = self.fleet(FleetEvent::HomeWeightsRead {
+        let outputs = self.apply_fleet_event(FleetEvent::HomeWeightsRead {
             sent_at_ms,
             record: HomeRecord::default(),
             version: 0,
@@ -172,7 +183,7 @@
         });
         let record = record.ok_or_else(|| eyre!("no home weight was written"))?;
         self.home_version = 1;
-        self.fleet(FleetEvent::HomeWeightsRead {
+        self.apply_fleet_event(FleetEvent::HomeWeightsRead {
             sent_at_ms,
             record,
             version: 1,
@@ -184,23 +195,24 @@
         }
     }
 
-    /// Opens the programs, each with one call that has ended.
+    /// Opens the programs and completes one call in each.
     fn open_programs(&mut self) -> eyre::Result<()> {
         for index in 0..self.size.programs {
-            // 20,000 programs are opened within 10 s of the reducer's time.
+            // Advances the reducer's clock by 1 ms for every two programs, so that 20,000
+            // programs are opened within 10 s.
             self.now_ms = 2_000 + index / 2;
             let customer = index % self.size.customers;
-            let token = self.open(customer)?;
-            let id = self.dispatch(customer, Some(token.clone()))?;
-            self.finish(id);
-            self.tokens.push((customer, token));
+            let token = self.open_program(customer)?;
+            let id = self.dispatch_call(customer, Some(token.clone()))?;
+            self.finish_call(id);
+            self.program_tokens.push((customer, token));
         }
         Ok(())
     }
 
-    fn open(&mut self, customer: u64) -> eyre::Result<String> {
-        let event = self.open_event(customer).1;
-        let outputs = self.schedule(event);
+    fn open_program(&mut self, customer: u64) -> eyre::Result<String> {
+        let event = self.open_program_event(customer).1;
+        let outputs = self.apply_scheduler_event(event);
         let token = outputs.iter().find_map(|output| match output {
             Output::Schedule(Effect::Reply {
                 reply: Reply::ProgramOpened { token, .. },
@@ -211,13 +223,14 @@
         token.ok_or_else(|| eyre!("program not opened: {outputs:?}"))
     }
 
-    fn dispatch(
+    /// Applies the arrival of a model call and checks that the reducer dispatches it at once.
+    fn dispatch_call(
         &mut self,
         customer: u64,
         program: Option<String>,
     ) -> eyre::Result<RequestId> {
         let (id, event) = self.chat_event(customer, program, "model");
-        let outputs = self.schedule(event);
+        let outputs = self.apply_scheduler_event(event);
         let dispatched = outputs
             .iter()
             .any(|output| matches!(output, Output::Schedule(Effect::Dispatch(_))));
@@ -227,33 +240,35 @@
         }
     }
 
-    fn finish(&mut self, id: RequestId) {
-        self.schedule(Event::CallSent { request_id: id });
-        self.schedule(Event::FirstToken { request_id: id });
-        self.schedule(finished(id));
+    fn finish_call(&mut self, id: RequestId) {
+        self.apply_scheduler_event(Event::CallSent { request_id: id });
+        self.apply_scheduler_event(Event::FirstToken { request_id: id });
+        self.apply_scheduler_event(call_finished_event(id));
     }
 
-    fn read_registrations(&mut self) {
+    fn apply_registrations(&mut self) {
         let event = self.registrations_event();
-        self.fleet(event);
+        self.apply_fleet_event(event);
     }
 
-    fn hear_peers(&mut self) {
+    /// Applies one heartbeat from each peer.
+    fn receive_heartbeats(&mut self) {
         for index in 0..self.size.peers {
             let event = heartbeat_event(index, false);
-            self.fleet(event);
+            self.apply_fleet_event(event);
         }
     }
 
-    fn add_waiting(&mut self) -> eyre::Result<()> {
+    /// Adds the calls that wait for the worker of `full-model`, which has one slot.
+    fn add_waiting_calls(&mut self) -> eyre::Result<()> {
         if self.size.waiting == 0 {
             return Ok(());
         }
-        // Fills the only worker of the model, then lets calls wait for it.
+        // The first call takes the only slot for the model, and all others wait for it.
         for index in 0..=self.size.waiting {
             let customer = index % self.size.customers;
             let event = self.chat_event(customer, None, "full-model").1;
-            let outputs = self.schedule(event);
+            let outputs = self.apply_scheduler_event(event);
             let refused = outputs
                 .iter()
                 .any(|output| matches!(output, Output::Schedule(Effect::Refuse { .. })));
@@ -281,26 +296,33 @@
             model: model.to_string(),
             max_tokens: Some(256),
             prompt_bound_tokens: 4_000,
-            prefix_hashes: (start..start + PREFIXES).collect(),
+            prefix_hashes: (start..start + PREFIX_HASHES).collect(),
         };
-        (id, self.arrived(id, customer, program, operation))
+        (
+            id,
+            self.call_arrived_event(id, customer, program, operation),
+        )
     }
 
-    fn open_event(&mut self, customer: u64) -> (RequestId, Event) {
+    fn open_program_event(&mut self, customer: u64) -> (RequestId, Event) {
         let id = self.next_id();
         let operation = CallOperation::OpenProgram {
             budget_tokens: None,
         };
-        (id, self.arrived(id, customer, None, operation))
+        (id, self.call_arrived_event(id, customer, None, operation))
     }
 
-    fn close_event(&mut self, customer: u64, token: String) -> (RequestId, Event) {
+    fn close_program_event(
+        &mut self,
+        customer: u64,
+        token: String,
+    ) -> (RequestId, Event) {
         let id = self.next_id();
         let operation = CallOperation::CloseProgram { token };
-        (id, self.arrived(id, customer, None, operation))
+        (id, self.call_arrived_event(id, customer, None, operation))
     }
 
-    fn arrived(
+    fn call_arrived_event(
         &self,
         request_id: RequestId,
         customer: u64,
@@ -309,7 +331,7 @@
     ) -> Event {
         Event::CallArrived(Box::new(CallArrived {
             request_id,
-            key: Some(key(customer)),
+            key: Some(customer_key(customer)),
             profile: None,
             program,
             parent: None,
@@ -322,15 +344,18 @@
     }
 
     fn registrations_event(&self) -> FleetEvent {
-        let peers = (0..self.size.peers).map(|index| registered(&peer(index), index));
+        let peers = (0..self.size.peers)
+            .map(|index| registered_instance(&peer_name(index), index));
         FleetEvent::RegistrationsRead {
             sent_at_ms: self.now_ms,
-            registered: peers.chain([registered("entry-0000", 0)]).collect(),
+            registered: peers
+                .chain([registered_instance("entry-0000", 0)])
+                .collect(),
             own_lease: Some(1),
         }
     }
 
-    fn home_event(&mut self) -> FleetEvent {
+    fn home_weights_event(&mut self) -> FleetEvent {
         self.home_version += 1;
         let weight_ppm = 1_000_000 / (self.size.peers as u32 + 1);
         let weight = |name: String| {
@@ -344,7 +369,7 @@
             (name, weight)
         };
         let names = (0..self.size.peers)
-            .map(peer)
+            .map(peer_name)
             .chain(["entry-0000".to_string()]);
         FleetEvent::HomeWeightsRead {
             sent_at_ms: self.now_ms,
@@ -357,12 +382,13 @@
         }
     }
 
-    fn loan_event(&self, index: u64) -> FleetEvent {
+    /// A request by the first peer to borrow a part of a customer's quota.
+    fn loan_request_event(&self, index: u64) -> FleetEvent {
         FleetEvent::PeerMessage {
-            from: peer(0),
+            from: peer_name(0),
             message: PeerMessage::LoanRequest(LoanRequest {
                 id: LoanId {
-                    borrower: incarnation(&peer(0)).to_string(),
+                    borrower: incarnation(&peer_name(0)).to_string(),
                     sequence: index,
                 },
                 customer: format!("customer-{}", index % self.size.customers),
@@ -373,31 +399,33 @@
         }
     }
 
-    /// Times each kind of event.
+    /// Times each kind of event. The labels appear in the printed table.
     ///
     /// # Errors
     ///
-    /// If a call is not dispatched.
+    /// If the reducer does not dispatch a call that must run before an event can be timed.
     pub fn time_all(&mut self) -> eyre::Result<Vec<Timing>> {
         let mut timings = Vec::new();
         timings.push(self.time("tick", REPETITIONS, |state, _| {
             state.now_ms += 1;
             Input::Schedule(Event::Tick)
         }));
-        timings.push(
-            self.time("tick with heartbeats", FEW_REPETITIONS, |state, _| {
+        timings.push(self.time(
+            "tick with heartbeats",
+            SLOW_SETUP_REPETITIONS,
+            |state, _| {
                 state.now_ms += 1_001;
-                state.hear_peers();
+                state.receive_heartbeats();
                 Input::Schedule(Event::Tick)
-            }),
-        );
-        self.hear_peers();
+            },
+        ));
+        self.receive_heartbeats();
         timings.push(self.time("store contact", REPETITIONS, |_, _| {
             Input::Schedule(Event::StoreContact { age_ms: 10 })
         }));
         timings.push(self.time("load report", REPETITIONS, |state, index| {
             Input::Schedule(Event::LoadReported {
-                endpoint: worker(index % state.size.workers),
+                endpoint: worker_name(index % state.size.workers),
                 report: LoadReport::default(),
             })
         }));
@@ -408,8 +436,10 @@
             Input::Schedule(Event::KeyWithdrawn { key })
         }));
         self.time_fleet(&mut timings);
-        timings.push(
-            self.time("configuration", SLOW_REPETITIONS, |state, index| {
+        timings.push(self.time(
+            "configuration",
+            SLOW_EVENT_REPETITIONS,
+            |state, index| {
                 state.configuration.revision += 1;
                 let name = format!("customer-{}", index % state.size.customers);
                 if let Some(customer) = state.configuration.customers.get_mut(&name) {
@@ -417,11 +447,12 @@
                 }
                 let configuration = Arc::new(state.configuration.clone());
                 Input::Schedule(Event::ConfigurationChanged(configuration))
-            }),
-        );
+            },
+        ));
         Ok(timings)
     }
 
+    /// Times the events in the life of a call that belongs to no program.
     fn time_calls(&mut self, timings: &mut Vec<Timing>) -> eyre::Result<()> {
         let mut ids = Vec::new();
         timings.push(self.time("call arrived", REPETITIONS, |state, index| {
@@ -430,58 +461,64 @@
             ids.push(id);
             Input::Schedule(event)
         }));
-        let with_id = |ids: &[RequestId], index: u64| ids[index as usize];
+        let id_at = |ids: &[RequestId], index: u64| ids[index as usize];
         timings.push(self.time("call sent", REPETITIONS, |_, index| {
-            let request_id = with_id(&ids, index);
+            let request_id = id_at(&ids, index);
             Input::Schedule(Event::CallSent { request_id })
         }));
         timings.push(self.time("first token", REPETITIONS, |_, index| {
-            let request_id = with_id(&ids, index);
+            let request_id = id_at(&ids, index);
             Input::Schedule(Event::FirstToken { request_id })
         }));
         timings.push(self.time("call finished", REPETITIONS, |_, index| {
-            Input::Schedule(finished(with_id(&ids, index)))
+            Input::Schedule(call_finished_event(id_at(&ids, index)))
         }));
-        let mut gone = Vec::new();
-        for index in 0..SLOW_REPETITIONS as u64 {
-            gone.push(self.dispatch(index % self.size.customers, None)?);
+        let mut dispatched = Vec::new();
+        for index in 0..SLOW_EVENT_REPETITIONS as u64 {
+            dispatched.push(self.dispatch_call(index % self.size.customers, None)?);
         }
-        timings.push(self.time("caller gone", SLOW_REPETITIONS, |_, index| {
-            let request_id = with_id(&gone, index);
-            Input::Schedule(Event::CallerGone { request_id })
-        }));
-        for id in gone {
-            self.schedule(finished(id));
+        timings.push(
+            self.time("caller gone", SLOW_EVENT_REPETITIONS, |_, index| {
+                let request_id = id_at(&dispatched, index);
+                Input::Schedule(Event::CallerGone { request_id })
+            }),
+        );
+        for id in dispatched {
+            self.apply_scheduler_event(call_finished_event(id));
         }
         Ok(())
     }
 
+    /// Times opening and closing programs and the calls in them. Does nothing if the state has
+    /// too few programs for each repetition to use a different one.
     fn time_programs(&mut self, timings: &mut Vec<Timing>) -> eyre::Result<()> {
-        if self.tokens.len() < 2 * REPETITIONS {
+        if self.program_tokens.len() < 2 * REPETITIONS {
             return Ok(());
         }
         let mut ids = Vec::new();
         timings.push(
             self.time("program call arrived", REPETITIONS, |state, index| {
-                let (customer, token) = state.tokens[index as usize].clone();
+                let (customer, token) = state.program_tokens[index as usize].clone();
                 let (id, event) = state.chat_event(customer, Some(token), "model");
                 ids.push(id);
                 Input::Schedule(event)
             }),
         );
         timings.push(self.time("program call finished", REPETITIONS, |_, index| {
-            Input::Schedule(finished(ids[index as usize]))
+            Input::Schedule(call_finished_event(ids[index as usize]))
         }));
         timings.push(self.time("program opened", REPETITIONS, |state, index| {
-            Input::Schedule(state.open_event(index % state.size.customers).1)
+            Input::Schedule(state.open_program_event(index % state.size.customers).1)
         }));
         timings.push(self.time("program closed", REPETITIONS, |state, index| {
-            let (customer, token) = state.tokens[REPETITIONS + index as usize].clone();
-            Input::Schedule(state.close_event(customer, token).1)
+            let (customer, token) =
+                state.program_tokens[REPETITIONS + index as usize].clone();
+            Input::Schedule(state.close_program_event(customer, token).1)
         }));
         Ok(())
     }
 
+    /// Times messages from peers and responses of the store.
     fn time_fleet(&mut self, timings: &mut Vec<Timing>) {
         timings.push(self.time("contact age", REPETITIONS, |_, _| {
             Input::Fleet(FleetEvent::StoreContactAge(Some(10)))
@@ -498,21 +535,23 @@
                 Input::Fleet(heartbeat_event(index % state.size.peers, true))
             }));
             timings.push(self.time("loan request", REPETITIONS, |state, index| {
-                Input::Fleet(state.loan_event(index))
+                Input::Fleet(state.loan_request_event(index))
             }));
         }
-        timings.push(
-            self.time("registrations read", SLOW_REPETITIONS, |state, _| {
-                Input::Fleet(state.registrations_event())
-            }),
-        );
-        timings.push(
-            self.time("home weights read", SLOW_REPETITIONS, |state, _| {
-                Input::Fleet(state.home_event())
-            }),
-        );
+        timings.push(self.time(
+            "registrations read",
+            SLOW_EVENT_REPETITIONS,
+            |state, _| Input::Fleet(state.registrations_event()),
+        ));
+        timings.push(self.time(
+            "home weights read",
+            SLOW_EVENT_REPETITIONS,
+            |state, _| Input::Fleet(state.home_weights_event()),
+        ));
     }
 
+    /// Times `repetitions` events, which `input` creates. The time of `input` itself does not
+    /// count.
     fn time(
         &mut self,
         event: &str,
@@ -540,34 +579,34 @@
 
 fn configuration(size: Size) -> Configuration {
     let customer = |index| {
-        let contract = Customer {
+        let record = Customer {
             rate_mreq_per_s: UNLIMITED_MREQ,
             burst_mreq: UNLIMITED_MREQ,
             weight: 1,
         };
-        (format!("customer-{index}"), contract)
+        (format!("customer-{index}"), record)
     };
     let record = |index| {
         let record = CustomerKey {
             customer: format!("customer-{index}"),
             withdrawn: false,
         };
-        (key(index), record)
+        (customer_key(index), record)
     };
     let mut configuration = Configuration {
         revision: 1,
         customers: (0..size.customers).map(customer).collect(),
         keys: (0..size.customers).map(record).collect(),
         endpoints: (0..size.workers)
-            .map(|index| (worker(index), endpoint(index, "model", WORKER_SLOTS)))
+            .map(|index| (worker_name(index), endpoint(index, "model", WORKER_SLOTS)))
             .collect(),
         ..Configuration::default()
     };
     if size.waiting > 0 {
-        let full = endpoint(0, "full-model", 1);
+        let full_worker = endpoint(0, "full-model", 1);
         configuration
             .endpoints
-            .insert("worker-full".to_string(), full);
+            .insert("worker-full".to_string(), full_worker);
     }
     let profile = Profile {
         class: ClassOfService::Standard,
@@ -584,7 +623,7 @@
     Endpoint {
         kind: EndpointKind::ModelEngine,
         group: "models".to_string(),
-        availability_zone: zone(index),
+        availability_zone: zone_name(index),
         address: format!("127.0.0.1:{}", 10_000 + index),
         models: vec![model.to_string()],
         versions: Default::default(),
@@ -595,7 +634,7 @@
     }
 }
 
-fn finished(request_id: RequestId) -> Event {
+fn call_finished_event(request_id: RequestId) -> Event {
     let usage = Some(TokenUsage {
         prompt_tokens: 1_000,
         cached_tokens: 900,
@@ -604,10 +643,10 @@
     Event::CallFinished { request_id, usage }
 }
 
-fn registered(instance: &str, index: u64) -> RegisteredInstance {
+fn registered_instance(instance: &str, index: u64) -> RegisteredInstance {
     RegisteredInstance {
         incarnation: incarnation(instance),
-        availability_zone: zone(index),
+        availability_zone: zone_name(index),
         peer_address: "127.0.0.1:1".to_string(),
         leaving: false,
     }
@@ -615,8 +654,8 @@
 
 fn heartbeat_event(index: u64, is_answer: bool) -> FleetEvent {
     let heartbeat = Heartbeat {
-        incarnation: incarnation(&peer(index)),
-        availability_zone: zone(index),
+        incarnation: incarnation(&peer_name(index)),
+        availability_zone: zone_name(index),
         config_revision: 1,
         store_contact_age_ms: Some(100),
         state: InstanceState::Serving,
@@ -629,7 +668,7 @@
         false => PeerMessage::Heartbeat(heartbeat),
     };
     FleetEvent::PeerMessage {
-        from: peer(index),
+        from: peer_name(index),
         message,
     }
 }
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -1,4 +1,8 @@
-//! What a fleet of real instances uses by itself, by the size of what it serves.
+//! Background cost of a fleet of real instances: the control traffic, store calls, processor
+//! time and memory of each instance without calls from customers.
+//!
+//! Varies one quantity at a time, such as the number of instances or of programs, and fits a
+//! line to each measured value. The slope shows how the cost grows with that quantity.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,29 +15,31 @@
 use jayreel_standin::{Engine, EngineSettings};
 use serde_json::json;
 
-use crate::overhead_fleet::{self, Addresses, Bench, CUSTOMER_KEY, Instance, Usage};
+use crate::overhead_fleet::{self, Addresses, CUSTOMER_KEY, Instance, TestBed, Usage};
 use crate::slopes_fit::fit;
 use crate::slopes_relay::{Relay, Relays};
 
-/// Most instances of the real binary at once.
+/// Largest number of instances, each of which is a process of its own.
 const MAX_INSTANCES: u64 = 48;
-/// Availability zones of the fleet.
+/// Number of availability zones over which the instances are spread.
 const ZONES: u64 = 4;
-/// Callers that open programs.
-const OPENERS: u64 = 16;
+/// Number of threads that open programs at an instance concurrently.
+const OPENING_THREADS: u64 = 16;
 
-/// Sizes of what the fleet serves.
+/// Size of the fleet and of what it serves. Printed through `Debug` at the head of the report.
 #[derive(Clone, Copy, Debug)]
 struct Size {
     instances: u64,
     customers: u64,
+    /// Endpoint records of model engines. They all have the address of one stand-in engine.
     workers: u64,
-    /// Programs opened at each instance.
+    /// Programs opened at each instance before the measurement.
     programs: u64,
-    /// Configuration changes in a second.
+    /// Configuration changes per second during the measurement.
     changes: u64,
 }
 
+/// Size of the fleet unless a sweep sets another one.
 const BASE: Size = Size {
     instances: 4,
     customers: 8,
@@ -42,47 +48,50 @@
     changes: 0,
 };
 
-/// One quantity that is varied.
-struct Part {
+/// One quantity that is varied while the others stay fixed.
+struct Sweep {
+    /// Value of `--part`, and label in the report.
     name: &'static str,
+    /// Values of the quantity that are measured.
     sizes: &'static [u64],
-    with: fn(u64) -> Size,
+    /// The size of the fleet for a value of the quantity.
+    size_with: fn(u64) -> Size,
 }
 
-const PARTS: [Part; 6] = [
-    Part {
+const SWEEPS: [Sweep; 6] = [
+    Sweep {
         name: "instances",
         sizes: &[4, 8, 16, 32, MAX_INSTANCES],
-        with: |instances| Size { instances, ..BASE },
+        size_with: |instances| Size { instances, ..BASE },
     },
-    Part {
+    Sweep {
         name: "customers",
         sizes: &[100, 800, 1_600, 3_100],
-        with: |customers| Size { customers, ..BASE },
+        size_with: |customers| Size { customers, ..BASE },
     },
-    Part {
+    Sweep {
         name: "workers",
         sizes: &[25, 50, 100, 200],
-        with: |workers| Size { workers, ..BASE },
+        size_with: |workers| Size { workers, ..BASE },
     },
-    Part {
+    Sweep {
         name: "programs",
         sizes: &[500, 1_000, 2_000, 4_000],
-        with: |programs| Size { programs, ..BASE },
+        size_with: |programs| Size { programs, ..BASE },
     },
-    Part {
+    Sweep {
         name: "changes",
         sizes: &[0, 1, 2, 4],
-        with: |changes| Size {
+        size_with: |changes| Size {
             changes,
             customers: 800,
             ..BASE
         },
     },
-    Part {
+    Sweep {
         name: "instances at 1 change/s",
         sizes: &[4, 8, 16, 24],
-        with: |instances| Size {
+        size_with: |instances| Size {
             instances,
             customers: 800,
             changes: 1,
@@ -91,17 +100,19 @@
     },
 ];
 
-/// How long is waited and measured.
+/// Durations of the phases of a measurement.
 #[derive(Clone, Copy, Debug)]
 struct Times {
+    /// Pause between opening the programs and the measurement.
     settle: Duration,
+    /// Length of the measurement.
     measure: Duration,
 }
 
-/// What was measured, by name, for each instance.
-type Point = BTreeMap<&'static str, f64>;
+/// Measured values by name, each as the mean per instance.
+type Values = BTreeMap<&'static str, f64>;
 
-/// The command line.
+/// Command line of the subcommand `slopes`.
 pub fn command() -> Command {
     let seconds = |name: &'static str, default: &'static str, help: &'static str| {
         Arg::new(name)
@@ -122,7 +133,7 @@
         )
 }
 
-/// Runs the measurement.
+/// Measures all chosen quantities and prints a table for each.
 pub fn run(options: &ArgMatches) -> eyre::Result<()> {
     let seconds = |name: &str| {
         let seconds = options.get_one::<u64>(name).copied();
@@ -135,33 +146,35 @@
     println!("machine load before: {}", overhead_fleet::machine_load());
     println!("unless varied: {BASE:?}; {times:?}");
     let only = options.get_one::<String>("part");
-    for part in &PARTS {
-        if only.is_none_or(|name| name == part.name) {
-            print_part(part, times)?;
+    for sweep in &SWEEPS {
+        if only.is_none_or(|name| name == sweep.name) {
+            run_sweep(sweep, times)?;
         }
     }
     println!("machine load after: {}", overhead_fleet::machine_load());
     Ok(())
 }
 
-fn print_part(part: &Part, times: Times) -> eyre::Result<()> {
+/// Measures all sizes of a sweep and prints a row for each value: the value at each size,
+/// and the intercept, slope and residual of the fitted line.
+fn run_sweep(sweep: &Sweep, times: Times) -> eyre::Result<()> {
     let mut points = Vec::new();
-    for size in part.sizes {
-        let point = measure((part.with)(*size), times)?;
-        points.push((*size as f64, point));
+    for size in sweep.sizes {
+        let values = measure((sweep.size_with)(*size), times)?;
+        points.push((*size as f64, values));
     }
     println!(
         "{} at {:?}, for each instance; intercept, slope, residual:",
-        part.name, part.sizes
+        sweep.name, sweep.sizes
     );
     let names: std::collections::BTreeSet<&str> = points
         .iter()
-        .flat_map(|(_, point)| point.keys().copied())
+        .flat_map(|(_, values)| values.keys().copied())
         .collect();
     for name in names {
         let values: Vec<(f64, f64)> = points
             .iter()
-            .map(|(size, point)| (*size, point.get(name).copied().unwrap_or(0.0)))
+            .map(|(size, values)| (*size, values.get(name).copied().unwrap_or(0.0)))
             .collect();
         let line = fit(&values);
         let texts: Vec<String> = values.iter().map(|(_, y)| format!("{y:9.2}")).collect();
@@ -176,9 +189,10 @@
     Ok(())
 }
 
-/// A fleet with relays before its listeners for peers and before the store.
+/// A fleet whose traffic passes through relays that count it: one relay to the store for all
+/// instances, and one to the listener for peers of each instance.
 struct Fleet {
-    bench: Bench,
+    test_bed: TestBed,
     _engine: Engine,
     store_relay: Relay,
     peer_relays: Vec<Relay>,
@@ -186,35 +200,37 @@
     _relays: Relays,
 }
 
-/// Counters of a fleet at one moment.
+/// Totals of a fleet since its start, read at one moment.
 struct Counters {
     at: Instant,
     peer_bytes: u64,
-    peer_reads: u64,
+    /// Reads of the peer relays that returned data, about one for each TCP segment.
+    peer_segments: u64,
     store_bytes: u64,
+    /// Requests to the store by path.
     store_calls: BTreeMap<String, u64>,
     processor_s: f64,
 }
 
 impl Fleet {
     fn start(size: Size) -> eyre::Result<Fleet> {
-        let bench = Bench::new()?;
+        let test_bed = TestBed::new()?;
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let engine = Engine::start(any, EngineSettings::default())?;
         for index in 0..size.customers {
-            bench.put_customer(&format!("customer-{index}"))?;
+            test_bed.put_customer(&format!("customer-{index}"))?;
             let key = KeyHash::of_key(&format!("key-{index}"));
             let value = json!({ "customer": format!("customer-{index}") });
-            bench.put(&format!("keys/{key}"), &value)?;
+            test_bed.put(&format!("keys/{key}"), &value)?;
         }
         for index in 0..size.workers {
-            bench.put_engine(&format!("engine-{index}"), engine.address())?;
+            test_bed.put_engine(&format!("engine-{index}"), engine.address())?;
         }
         let relays = Relays::start()?;
         let store_relay = relays.add()?;
-        store_relay.set_target(bench.gateway.address());
+        store_relay.set_target(test_bed.gateway.address());
         let mut fleet = Fleet {
-            bench,
+            test_bed,
             _engine: engine,
             store_relay,
             peer_relays: Vec::new(),
@@ -238,7 +254,7 @@
         };
         let name = format!("entry-{index}");
         let zone = format!("zone-{}", index % ZONES);
-        let instance = self.bench.start_instance(&name, &zone, addresses)?;
+        let instance = self.test_bed.start_instance(&name, &zone, addresses)?;
         relay.set_target(instance.peers);
         self.peer_relays.push(relay);
         self.instances.push(instance);
@@ -255,58 +271,64 @@
         Ok(Counters {
             at: Instant::now(),
             peer_bytes: self.peer_relays.iter().map(Relay::bytes).sum(),
-            peer_reads: self.peer_relays.iter().map(Relay::reads).sum(),
+            peer_segments: self.peer_relays.iter().map(Relay::reads).sum(),
             store_bytes: self.store_relay.bytes(),
-            store_calls: self.bench.gateway.runs().paths,
+            store_calls: self.test_bed.gateway.runs().paths,
             processor_s: usages.iter().map(|usage| usage.processor_s).sum(),
         })
     }
 }
 
-fn measure(size: Size, times: Times) -> eyre::Result<Point> {
+/// Starts a fleet, waits until it has settled, and measures it.
+fn measure(size: Size, times: Times) -> eyre::Result<Values> {
     let fleet = Fleet::start(size)?;
     open_programs(&fleet, size.programs)?;
     let stop = AtomicBool::new(false);
     std::thread::scope(|scope| {
-        let changes = scope.spawn(|| change(&fleet.bench, size, &stop));
+        let changes = scope.spawn(|| apply_changes(&fleet.test_bed, size, &stop));
         std::thread::sleep(times.settle);
         let before = fleet.counters();
         std::thread::sleep(times.measure);
         let after = fleet.counters();
         stop.store(true, Ordering::Relaxed);
-        changes.join().map_err(|_| eyre!("the changes failed"))??;
-        point(&fleet, &before?, &after?)
+        changes
+            .join()
+            .map_err(|_| eyre!("the thread that changes the configuration panicked"))??;
+        values(&fleet, &before?, &after?)
     })
 }
 
-/// Makes configuration changes at a fixed rate.
-fn change(bench: &Bench, size: Size, stop: &AtomicBool) -> eyre::Result<()> {
+/// Changes the rate limit of one customer after another, at the rate of `size.changes`, until
+/// `stop` is set.
+fn apply_changes(test_bed: &TestBed, size: Size, stop: &AtomicBool) -> eyre::Result<()> {
     if size.changes == 0 {
         return Ok(());
     }
     let start = Instant::now();
-    let mut made = 0;
+    let mut changes_made = 0;
     while !stop.load(Ordering::Relaxed) {
-        if start.elapsed().as_secs_f64() * (size.changes as f64) < made as f64 {
+        if start.elapsed().as_secs_f64() * (size.changes as f64) < changes_made as f64 {
             std::thread::sleep(Duration::from_millis(10));
             continue;
         }
-        made += 1;
-        let rate = 1_000_000_000 + made;
+        changes_made += 1;
+        let rate = 1_000_000_000 + changes_made;
         let value = json!({ "rate_mreq_per_s": rate, "burst_mreq": rate });
-        let name = format!("customers/customer-{}", made % size.customers);
-        bench.put(&name, &value)?;
+        let name = format!("customers/customer-{}", changes_made % size.customers);
+        test_bed.put(&name, &value)?;
     }
     Ok(())
 }
 
-/// Opens programs at each instance, and leaves them in a pause.
+/// Opens programs at each instance and sends no calls for them, so that they stay idle.
 fn open_programs(fleet: &Fleet, programs: u64) -> eyre::Result<()> {
     for instance in &fleet.instances {
         let url = format!("http://{}/v1/programs", instance.callers);
         let failed = std::thread::scope(|scope| {
-            let callers: Vec<_> = (0..OPENERS)
-                .map(|_| scope.spawn(|| open_some(&url, programs / OPENERS)))
+            let callers: Vec<_> = (0..OPENING_THREADS)
+                .map(|_| {
+                    scope.spawn(|| open_sequentially(&url, programs / OPENING_THREADS))
+                })
                 .collect();
             let results = callers.into_iter().map(|caller| caller.join());
             results.filter_map(Result::ok).sum::<u64>()
@@ -318,7 +340,8 @@
     Ok(())
 }
 
-fn open_some(url: &str, programs: u64) -> u64 {
+/// Opens programs one after another, and returns how many could not be opened.
+fn open_sequentially(url: &str, programs: u64) -> u64 {
     let agent: ureq::Agent = ureq::Agent::config_builder()
         .http_status_as_error(false)
         .timeout_global(Some(Duration::from_secs(10)))
@@ -335,7 +358,9 @@
     (0..programs).filter(|_| !open()).count() as u64
 }
 
-fn point(fleet: &Fleet, before: &Counters, after: &Counters) -> eyre::Result<Point> {
+/// Computes the rates between two readings of the counters, and the present memory and
+/// threads. The labels appear in the report.
+fn values(fleet: &Fleet, before: &Counters, after: &Counters) -> eyre::Result<Values> {
     let instances = fleet.instances.len().max(1) as f64;
     let seconds = (after.at - before.at).as_secs_f64();
     let rate = |after: f64, before: f64| (after - before) / seconds / instances;
@@ -351,13 +376,13 @@
         matching.map(|(_, count)| *count).sum()
     };
     let store = |kinds: &[&str]| count(calls(after, kinds), calls(before, kinds));
-    let before_calls =
+    let calls_until_settled =
         |kinds: &[&str]| -> f64 { calls(before, kinds) as f64 / instances };
-    Ok(Point::from([
-        ("reads until settled", before_calls(&["/range"])),
+    Ok(Values::from([
+        ("reads until settled", calls_until_settled(&["/range"])),
         (
             "transactions until settled",
-            before_calls(&["/txn", "/put"]),
+            calls_until_settled(&["/txn", "/put"]),
         ),
         // Each byte between peers is sent by one instance and received by another.
         (
@@ -366,7 +391,7 @@
         ),
         (
             "peer segments/s sent",
-            count(after.peer_reads, before.peer_reads),
+            count(after.peer_segments, before.peer_segments),
         ),
         (
             "store KB/s",
--- a/crates/bench/src/slopes_relay.rs
+++ b/crates/bench/src/slopes_relay.rs
@@ -1,4 +1,5 @@
-//! TCP relays that count the bytes which pass, and can be cut or made silent.
+//! TCP relays that count the traffic between processes and simulate network faults: closed
+//! and refused connections, and connections that stay open but carry no data.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,13 +11,14 @@
 use tokio::runtime::{Builder, Handle};
 use tokio::sync::{oneshot, watch};
 
-/// Size of the buffer of each direction.
+/// Buffer size for each direction of a connection.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Time after which a relay without target drops a connection.
-const TARGET_WAIT: Duration = Duration::from_secs(10);
+/// How long a connection waits for [`Relay::set_target`] before the relay closes it.
+const TARGET_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The thread that runs all relays. Ends when dropped, with all connections.
+/// The thread that runs all relays. Dropping this value ends the thread, which closes all
+/// connections.
 pub struct Relays {
     handle: Handle,
     _stop: oneshot::Sender<()>,
@@ -24,33 +26,35 @@
 
 /// A relay to one target.
 pub struct Relay {
-    /// Where the relay listens.
+    /// Address at which the relay accepts connections.
     pub address: SocketAddr,
     target: Arc<OnceLock<SocketAddr>>,
-    counts: Arc<Counts>,
+    counters: Arc<TrafficCounters>,
     faults: watch::Sender<Faults>,
 }
 
-/// What the relay does to connections.
+/// Faults that the relay simulates at present.
 #[derive(Clone, Copy, Debug, Default)]
 struct Faults {
-    /// Connections are closed, new ones too.
+    /// Open connections are closed, and new ones are closed once they are accepted.
     cut: bool,
-    /// Connections stay open and pass nothing, new ones too.
+    /// Open and new connections stay open but carry no data.
     frozen: bool,
-    /// Connections with a smaller number stay silent for good.
+    /// Incremented to silence the open connections. Those accepted in an earlier generation
+    /// stay open but carry no data any more.
     generation: u64,
 }
 
-/// What has passed.
+/// Traffic of all connections of a relay, in both directions.
 #[derive(Debug, Default)]
-struct Counts {
+struct TrafficCounters {
     bytes: AtomicU64,
+    /// Reads that returned data.
     reads: AtomicU64,
 }
 
 impl Relays {
-    /// Starts the thread.
+    /// Starts the thread that runs the relays.
     ///
     /// # Errors
     ///
@@ -70,7 +74,8 @@
         })
     }
 
-    /// A relay whose connections wait until [`Relay::set_target`].
+    /// Adds a relay on a free port of the loopback interface. Its connections wait until
+    /// [`Relay::set_target`] is called.
     ///
     /// # Errors
     ///
@@ -81,22 +86,22 @@
         let relay = Relay {
             address: listener.local_addr()?,
             target: Arc::default(),
-            counts: Arc::default(),
+            counters: Arc::default(),
             faults: watch::Sender::default(),
         };
         let faults = relay.faults.subscribe();
         let target = Arc::clone(&relay.target);
-        let counts = Arc::clone(&relay.counts);
+        let counters = Arc::clone(&relay.counters);
         self.handle.spawn(async move {
             let Ok(listener) = TcpListener::from_std(listener) else {
                 return;
             };
             while let Ok((incoming, _)) = listener.accept().await {
                 let target = Arc::clone(&target);
-                let counts = Arc::clone(&counts);
+                let counters = Arc::clone(&counters);
                 let faults = faults.clone();
                 tokio::spawn(
-                    async move { serve(incoming, &target, &counts, faults).await },
+                    async move { serve(incoming, &target, &counters, faults).await },
                 );
             }
         });
@@ -105,44 +110,48 @@
 }
 
 impl Relay {
-    /// Sets where connections go. The first target stays.
+    /// Sets the address to which connections are relayed. Only the first call has an effect.
     pub fn set_target(&self, target: SocketAddr) {
         let _ = self.target.set(target);
     }
 
-    /// Closes all connections and refuses new ones until it is called with `false`.
+    /// Closes all connections, and new ones as soon as they are accepted, until it is called
+    /// with `false`.
     pub fn set_cut(&self, cut: bool) {
         self.faults.send_modify(|faults| faults.cut = cut);
     }
 
-    /// Stops all traffic without closing a connection until it is called with `false`.
+    /// Stops the traffic of all connections without closing them until it is called with
+    /// `false`.
     pub fn set_frozen(&self, frozen: bool) {
         self.faults.send_modify(|faults| faults.frozen = frozen);
     }
 
-    /// Makes the connections that are open now silent for good, without closing them.
+    /// Permanently stops the traffic of the connections that are open now, without closing
+    /// them. New connections work.
     pub fn silence_open_connections(&self) {
         self.faults.send_modify(|faults| faults.generation += 1);
     }
 
-    /// Bytes that have passed in both directions.
+    /// Total bytes relayed in both directions.
     pub fn bytes(&self) -> u64 {
-        self.counts.bytes.load(Ordering::Relaxed)
+        self.counters.bytes.load(Ordering::Relaxed)
     }
 
-    /// Reads that returned bytes, which is about the number of segments with data.
+    /// Number of reads that returned data, which approximates the number of TCP segments with
+    /// data.
     pub fn reads(&self) -> u64 {
-        self.counts.reads.load(Ordering::Relaxed)
+        self.counters.reads.load(Ordering::Relaxed)
     }
 }
 
 async fn serve(
     incoming: TcpStream,
     target: &OnceLock<SocketAddr>,
-    counts: &Counts,
+    counters: &TrafficCounters,
     mut faults: watch::Receiver<Faults>,
 ) {
-    let deadline = tokio::time::Instant::now() + TARGET_WAIT;
+    let deadline = tokio::time::Instant::now() + TARGET_TIMEOUT;
     while target.get().is_none() && tokio::time::Instant::now() < deadline {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -158,39 +167,40 @@
     let _ = outgoing.set_nodelay(true);
     let (mut in_reader, mut in_writer) = incoming.into_split();
     let (mut out_reader, mut out_writer) = outgoing.into_split();
-    let gate = faults.clone();
+    let freezes = faults.clone();
     let traffic = async {
         tokio::join!(
-            pump(&mut in_reader, &mut out_writer, counts, gate.clone()),
-            pump(&mut out_reader, &mut in_writer, counts, gate)
+            copy_direction(&mut in_reader, &mut out_writer, counters, freezes.clone()),
+            copy_direction(&mut out_reader, &mut in_writer, counters, freezes)
         )
     };
-    let stops = |faults: &Faults| faults.cut || faults.generation != generation;
+    let ends_traffic = |faults: &Faults| faults.cut || faults.generation != generation;
     tokio::select! {
         _ = traffic => return,
-        _ = faults.wait_for(stops) => {}
+        _ = faults.wait_for(ends_traffic) => {}
     }
-    // A silent connection is held open until the relay ends or is cut.
+    // Keeps a silenced connection open until the relay ends or closes its connections.
     let _ = faults.wait_for(|faults| faults.cut).await;
 }
 
-/// Copies one direction until it ends, and then closes it on the other side.
-async fn pump(
+/// Relays one direction of a connection until its sender closes it, then closes that direction
+/// towards the receiver.
+async fn copy_direction(
     from: &mut tokio::net::tcp::OwnedReadHalf,
     to: &mut tokio::net::tcp::OwnedWriteHalf,
-    counts: &Counts,
-    mut gate: watch::Receiver<Faults>,
+    counters: &TrafficCounters,
+    mut faults: watch::Receiver<Faults>,
 ) {
     let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(count) = from.read(&mut buffer).await {
-        if gate.wait_for(|faults| !faults.frozen).await.is_err() {
+        if faults.wait_for(|faults| !faults.frozen).await.is_err() {
             break;
         }
         if count == 0 || to.write_all(&buffer[..count]).await.is_err() {
             break;
         }
-        counts.bytes.fetch_add(count as u64, Ordering::Relaxed);
-        counts.reads.fetch_add(1, Ordering::Relaxed);
+        counters.bytes.fetch_add(count as u64, Ordering::Relaxed);
+        counters.reads.fetch_add(1, Ordering::Relaxed);
     }
     let _ = to.shutdown().await;
 }
