--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -1,7 +1,8 @@
-//! Compares the product's policies with two baselines.
+//! Compares the product's scheduling policies with two baselines: round robin and fewest
+//! outstanding calls.
 //!
-//! Replays seeded traces of agent programs against real entry processes, with engines,
-//! services and the store as stand-ins in this process. See docs/MEASUREMENTS.md.
+//! Replays seeded traces of agent programs against real instances, with engines, services and
+//! the store as stand-ins in this process. See docs/MEASUREMENTS.md.
 
 mod caller;
 mod deployment;
@@ -26,16 +27,17 @@
 use eyre::{WrapErr, eyre};
 
 use self::deployment::INSTANCES;
-use self::report::Finished;
+use self::report::FinishedRun;
 use self::run::Job;
 use self::scenario::{Scenario, Variant};
 
-/// Most instances at the same time, over all parallel runs.
+/// Largest number of instances at the same time, over all parallel runs. Limits `--parallel`.
 const MAX_PROCESSES: usize = 90;
-/// Runs start this far apart, so that they do not all start processes at once.
+/// Delay between the starts of the first parallel runs, so that they do not all start their
+/// processes at once.
 const START_STAGGER: Duration = Duration::from_millis(200);
 
-/// The subcommand `policy`.
+/// Command line of the subcommand `policy`.
 pub(crate) fn command() -> Command {
     let deployments: Vec<&str> = deployment::ALL.iter().map(|d| d.name).collect();
     let scenarios: Vec<&str> = Scenario::ALL.iter().map(|s| s.name()).collect();
@@ -45,22 +47,22 @@
         .arg(number(
             "seeds",
             "5",
-            "Number of seeds, from --first-seed on",
+            "Number of consecutive seeds, starting with --first-seed",
         ))
         .arg(number("first-seed", "1", "The first seed"))
         .arg(number(
             "parallel",
             "12",
-            "Runs at the same time, of 6 instances each",
+            "Number of parallel runs, each with 6 instances",
         ))
         .arg(number(
             "limit",
             "900",
-            "Seconds after which no further run starts",
+            "Time in seconds after which no further run starts",
         ))
-        .arg(choice("scenario", scenarios))
-        .arg(choice("deployment", deployments))
-        .arg(choice("variant", variants))
+        .arg(choice_option("scenario", scenarios))
+        .arg(choice_option("deployment", deployments))
+        .arg(choice_option("variant", variants))
         .arg(
             Arg::new("binary")
                 .long("binary")
@@ -85,7 +87,7 @@
         .help(help)
 }
 
-fn choice(name: &'static str, values: Vec<&'static str>) -> Arg {
+fn choice_option(name: &'static str, values: Vec<&'static str>) -> Arg {
     Arg::new(name)
         .long(name)
         .value_parser(values)
@@ -93,7 +95,8 @@
         .help("May be given several times [default: all]")
 }
 
-/// Runs the measurement.
+/// Runs all chosen combinations of seed, deployment, scenario and variant, prints the tables
+/// and draws the plot.
 ///
 /// # Errors
 ///
@@ -103,7 +106,7 @@
     let target = target_directory()?;
     let binary = match matches.get_one::<PathBuf>("binary") {
         Some(path) => path.clone(),
-        None => build(&target)?,
+        None => build_release(&target)?,
     };
     let jobs = jobs(matches);
     let parallel =
@@ -136,8 +139,8 @@
         machine_load(),
         thread::available_parallelism().map_or(0, usize::from),
         report::table(&finished),
-        report::goals(&finished),
-        report::reasons(&finished),
+        report::compare_with_goals(&finished),
+        report::refusals_and_failures(&finished),
     );
     println!("{text}");
     println!("plot: {}", plot.display());
@@ -147,8 +150,8 @@
     }
 }
 
-/// All jobs. The variants of a seed run side by side, so that they share the machine's
-/// other load.
+/// The chosen runs. The variants of a seed follow each other, so that they run side by side
+/// and are affected by the same other load on the machine.
 fn jobs(matches: &ArgMatches) -> Vec<Job> {
     let chosen = |name: &str, value: &str| match matches.get_many::<String>(name) {
         Some(mut values) => values.any(|chosen| chosen == value),
@@ -177,13 +180,15 @@
     jobs
 }
 
+/// Runs the jobs on `parallel` threads. Starts none after `deadline`. Reports failed runs to
+/// standard error and leaves them out of the result.
 fn run_all(
     jobs: &[Job],
     parallel: usize,
     binary: &Path,
     directory: &Path,
     deadline: Instant,
-) -> Vec<Finished> {
+) -> Vec<FinishedRun> {
     let next = AtomicUsize::new(0);
     let finished = Mutex::new(Vec::new());
     thread::scope(|scope| {
@@ -194,10 +199,10 @@
                 while Instant::now() < deadline {
                     let index = next.fetch_add(1, Ordering::SeqCst);
                     let Some(job) = jobs.get(index) else { return };
-                    let own = directory.join(format!("run-{index}"));
-                    match run::run(*job, binary, own) {
+                    let run_directory = directory.join(format!("run-{index}"));
+                    match run::run(*job, binary, run_directory) {
                         Ok(measures) => {
-                            let run = Finished {
+                            let run = FinishedRun {
                                 job: *job,
                                 measures,
                             };
@@ -212,21 +217,22 @@
     finished.into_inner().expect("no thread panics")
 }
 
-/// The target directory, from the place of this executable.
+/// Cargo's target directory, derived from the path of this executable.
 fn target_directory() -> eyre::Result<PathBuf> {
     let executable = std::env::current_exe()?;
     let target = executable.ancestors().nth(2);
     Ok(target
-        .ok_or_else(|| eyre!("no target directory"))?
+        .ok_or_else(|| eyre!("the executable is not in a target directory"))?
         .to_path_buf())
 }
 
-fn build(target: &Path) -> eyre::Result<PathBuf> {
+/// Builds the `jayreel` binary in release mode and returns its path.
+fn build_release(target: &Path) -> eyre::Result<PathBuf> {
     let status = Process::new(env!("CARGO"))
         .args(["build", "--release", "--quiet", "-j", "4"])
         .args(["-p", "jayreel", "--bin", "jayreel"])
         .arg("--manifest-path")
-        .arg(root().join("Cargo.toml"))
+        .arg(workspace_root().join("Cargo.toml"))
         .status()
         .wrap_err("cannot run cargo")?;
     match status.success() {
@@ -235,7 +241,7 @@
     }
 }
 
-fn root() -> PathBuf {
+fn workspace_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
@@ -253,9 +259,9 @@
     String::from_utf8_lossy(&text).trim().to_string()
 }
 
-/// Appends to the page of runs.
+/// Appends the tables to the page that collects the results of all runs.
 fn append(text: &str) -> eyre::Result<()> {
-    let path = root().join("docs/POLICY-RUNS.md");
+    let path = workspace_root().join("docs/POLICY-RUNS.md");
     let mut file = OpenOptions::new().append(true).open(&path)?;
     writeln!(file, "\n{}", text.trim())?;
     Ok(())
--- a/crates/bench/src/policy/caller.rs
+++ b/crates/bench/src/policy/caller.rs
@@ -1,4 +1,6 @@
-//! Callers that run the programs of a trace.
+//! Callers, which run the programs of a trace and record what they observe.
+//!
+//! Each program runs on its own thread, and so does each sub-agent.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,36 +14,39 @@
 use serde_json::{Value, json};
 use ureq::Agent;
 
-use super::deployment::{Deployment, Kind, MODEL, SYSTEM_TOKENS};
-use super::fleet::{Entry, key_of};
-use super::outcome::{CallRecord, End, ProgramRecord, Records};
+use super::deployment::{Deployment, MODEL, ProgramKind, SYSTEM_TOKENS};
+use super::fleet::{BalancerTarget, customer_key};
+use super::outcome::{CallRecord, ProgramEnd, ProgramRecord, Records};
 use super::trace::{ProgramPlan, Step, ideal_latency_ms, work};
 
-/// Most refusals of one call.
+/// Number of refusals (status 429 or 503) after which a call is given up.
 const MAX_REFUSALS: u32 = 8;
-/// Most attempts of a model call whose endpoint or connection failed.
-const MAX_FAILURES: u32 = 4;
+/// Number of failed attempts after which a call is given up. Counts failures of the endpoint
+/// and of the connection.
+const MAX_ATTEMPTS: u32 = 4;
+/// Time limit of one attempt.
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
-/// A sleeping caller looks this often whether the run has ended.
-const STOP_CHECK: Duration = Duration::from_millis(50);
+/// How often a sleeping caller checks whether the run has ended.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Pause before a retry. A longer `Retry-After` of the response takes precedence.
 const RETRY_PAUSE_MS: u64 = 100;
-/// Tokens in a block of an engine's prefix cache.
+/// Number of tokens in a block of an engine's prefix cache. Only whole blocks are reused.
 const BLOCK_TOKENS: u64 = 16;
 
-/// What all callers of a run share.
-pub(crate) struct Shared {
+/// State of a run, shared by all callers and the thread that starts them.
+pub(crate) struct RunState {
     pub(crate) deployment: &'static Deployment,
-    pub(crate) entries: Arc<Vec<Entry>>,
+    pub(crate) balancer_targets: Arc<Vec<BalancerTarget>>,
     pub(crate) records: Mutex<Records>,
     pub(crate) stop: AtomicBool,
     pub(crate) started: Instant,
-    /// Programs of customers that do not flood and are running.
+    /// Running programs of customers that do not flood.
     pub(crate) running: AtomicU64,
-    /// Programs of a flooding customer that are running.
+    /// Running programs of the flooding customer.
     pub(crate) flooding: AtomicU64,
 }
 
-impl Shared {
+impl RunState {
     pub(crate) fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
@@ -61,14 +66,15 @@
             if left.is_zero() {
                 return;
             }
-            thread::sleep(left.min(STOP_CHECK));
+            thread::sleep(left.min(STOP_CHECK_INTERVAL));
         }
     }
 
-    /// An instance that the load balancer believes to be healthy.
-    fn pick(&self, rng: &mut SmallRng) -> usize {
-        let healthy: Vec<usize> = (0..self.entries.len())
-            .filter(|index| self.entries[*index].healthy.load(Ordering::SeqCst))
+    /// Picks a random instance among those that the load balancer considers healthy. Without
+    /// any, picks the first one.
+    fn pick_healthy(&self, rng: &mut SmallRng) -> usize {
+        let healthy: Vec<usize> = (0..self.balancer_targets.len())
+            .filter(|index| self.balancer_targets[*index].healthy.load(Ordering::SeqCst))
             .collect();
         match healthy.is_empty() {
             true => 0,
@@ -77,63 +83,73 @@
     }
 }
 
-/// Why a program did not go on.
-enum Stop {
-    Budget,
+/// Why a program ended before its last step.
+enum SessionError {
+    /// The instance refused a call because the program's token budget was used up.
+    BudgetExhausted,
+    /// A call failed, with the code of the last error.
     Failed(String),
-    Cut,
+    /// The run ended.
+    Unfinished,
 }
 
-/// One program or sub-agent of a customer.
+/// A program or sub-agent that is being run.
 struct Session<'a> {
-    shared: &'a Shared,
+    run_state: &'a RunState,
     customer: usize,
     profile: &'static str,
+    /// Value of the header `Authorization`.
     authorization: String,
     agent: Agent,
-    entry: usize,
+    /// Index of the instance that calls are sent to.
+    target: usize,
     rng: SmallRng,
+    /// Token of the program, absent for single calls without a program.
     program: Option<String>,
+    /// Chat history with the system prompt.
     messages: Vec<Value>,
-    /// Tokens of the previous call with its answer.
+    /// Tokens of the previous model call, prompt and answer together.
     history_tokens: u64,
+    /// Calls to plain services so far. Used for their idempotency keys.
     calls: u64,
 }
 
 /// Runs a program and records it.
-pub(crate) fn run(shared: &Shared, plan: &ProgramPlan) {
-    let start_ms = shared.now_ms();
+pub(crate) fn run(run_state: &RunState, plan: &ProgramPlan) {
+    let start_ms = run_state.now_ms();
     let mut caller =
-        Session::new(shared, plan.customer, profile(plan.kind), plan.text_seed);
+        Session::new(run_state, plan.customer, profile(plan.kind), plan.text_seed);
     let result = match plan.kind {
-        Kind::Question => caller.steps(&plan.steps),
-        _ => caller.whole(None, &plan.steps),
+        ProgramKind::Question => caller.run_steps(&plan.steps),
+        _ => caller.run_as_program(None, &plan.steps),
     };
     let end = match result {
-        Ok(()) | Err(Stop::Budget) => End::Done,
-        Err(Stop::Failed(code)) => End::Failed(code),
-        Err(Stop::Cut) => End::Cut,
+        Ok(()) | Err(SessionError::BudgetExhausted) => ProgramEnd::Completed,
+        Err(SessionError::Failed(code)) => ProgramEnd::Failed(code),
+        Err(SessionError::Unfinished) => ProgramEnd::Unfinished,
     };
-    shared.lock().programs.push(ProgramRecord {
+    run_state.lock().programs.push(ProgramRecord {
         customer: plan.customer,
         kind: plan.kind,
         start_ms,
-        end_ms: shared.now_ms(),
+        end_ms: run_state.now_ms(),
         end,
         ideal_ms: ideal_latency_ms(plan),
     });
 }
 
-fn profile(kind: Kind) -> &'static str {
+/// The profile that programs and calls of this kind request.
+fn profile(kind: ProgramKind) -> &'static str {
     match kind {
-        Kind::Desk | Kind::Question => "interactive",
-        Kind::Summary | Kind::Conversation => "standard",
-        Kind::Loop => "loop",
+        ProgramKind::ShortTask | ProgramKind::Question => "interactive",
+        ProgramKind::Summary | ProgramKind::Conversation => "standard",
+        ProgramKind::Loop => "loop",
     }
 }
 
-/// Text of the given length, in words of one token.
-fn text(rng: &mut SmallRng, tokens: usize) -> String {
+/// Random text of the given number of tokens. Each token is a word of three letters and a
+/// space.
+fn random_text(rng: &mut SmallRng, tokens: usize) -> String {
     const DIGITS: &[u8] = b"abcdefghijklmnopqrstuvwxyz";
     let mut text = String::with_capacity(tokens * 4);
     for _ in 0..tokens {
@@ -149,7 +165,7 @@
 
 impl<'a> Session<'a> {
     fn new(
-        shared: &'a Shared,
+        run_state: &'a RunState,
         customer: usize,
         profile: &'static str,
         text_seed: u64,
@@ -161,14 +177,14 @@
             .max_idle_connections(1)
             .build();
         let mut system_rng = SmallRng::seed_from_u64(customer as u64);
-        let system = text(&mut system_rng, SYSTEM_TOKENS);
-        let name = shared.deployment.customers[customer].name;
+        let system = random_text(&mut system_rng, SYSTEM_TOKENS);
+        let name = run_state.deployment.customers[customer].name;
         Session {
-            entry: shared.pick(&mut rng),
-            shared,
+            target: run_state.pick_healthy(&mut rng),
+            run_state,
             customer,
             profile,
-            authorization: format!("Bearer {}", key_of(name)),
+            authorization: format!("Bearer {}", customer_key(name)),
             agent: config.into(),
             rng,
             program: None,
@@ -178,39 +194,45 @@
         }
     }
 
-    /// Opens a program, runs it and closes it.
-    fn whole(&mut self, parent: Option<&str>, steps: &[Step]) -> Result<(), Stop> {
-        let opened = self.open(parent)?;
+    /// Opens a program, runs its steps and closes it. A program that the end of the run
+    /// interrupts is not closed.
+    fn run_as_program(
+        &mut self,
+        parent: Option<&str>,
+        steps: &[Step],
+    ) -> Result<(), SessionError> {
+        let opened = self.open_program(parent)?;
         self.program = Some(opened.clone());
-        let result = self.steps(steps);
-        if !matches!(result, Err(Stop::Cut)) {
+        let result = self.run_steps(steps);
+        if !matches!(result, Err(SessionError::Unfinished)) {
             let path = format!("/v1/programs/{opened}");
             let _ = self.send("DELETE", &path, &[], "");
             let tag = cache_tag(&opened);
-            self.shared.lock().ended_tags.extend(tag);
+            self.run_state.lock().ended_tags.extend(tag);
         }
         result
     }
 
-    fn steps(&mut self, steps: &[Step]) -> Result<(), Stop> {
+    fn run_steps(&mut self, steps: &[Step]) -> Result<(), SessionError> {
         for step in steps {
             match step {
                 Step::Chat {
                     new_tokens,
                     answer_tokens,
-                } => self.chat(*new_tokens, *answer_tokens)?,
-                Step::Service => self.service()?,
-                Step::Pause { ms } => self.shared.sleep_ms(*ms),
-                Step::SubAgents(agents) => self.sub_agents(agents)?,
+                } => self.call_model(*new_tokens, *answer_tokens)?,
+                Step::Service => self.call_service()?,
+                Step::Pause { ms } => self.run_state.sleep_ms(*ms),
+                Step::SubAgents(agents) => self.run_sub_agents(agents)?,
             }
         }
         Ok(())
     }
 
-    fn sub_agents(&mut self, agents: &[Vec<Step>]) -> Result<(), Stop> {
+    fn run_sub_agents(&mut self, agents: &[Vec<Step>]) -> Result<(), SessionError> {
         let parent = self.program.clone();
         let parent = parent.as_deref();
-        let (shared, customer, profile) = (self.shared, self.customer, self.profile);
+        let (run_state, customer, profile) =
+            (self.run_state, self.customer, self.profile);
         let seeds: Vec<u64> = agents.iter().map(|_| self.rng.random()).collect();
         thread::scope(|scope| {
             let threads: Vec<_> = agents
@@ -218,29 +240,34 @@
                 .zip(seeds)
                 .map(|(steps, seed)| {
                     scope.spawn(move || {
-                        let mut agent = Session::new(shared, customer, profile, seed);
-                        agent.whole(parent, steps)
+                        let mut agent = Session::new(run_state, customer, profile, seed);
+                        agent.run_as_program(parent, steps)
                     })
                 })
                 .collect();
-            threads
-                .into_iter()
-                .try_for_each(|thread| thread.join().unwrap_or(Err(Stop::Cut)))
+            threads.into_iter().try_for_each(|thread| {
+                thread.join().unwrap_or(Err(SessionError::Unfinished))
+            })
         })
     }
 
-    fn open(&mut self, parent: Option<&str>) -> Result<String, Stop> {
+    fn open_program(&mut self, parent: Option<&str>) -> Result<String, SessionError> {
         let mut headers = vec![("Jayreel-Profile", self.profile.to_string())];
         if let Some(parent) = parent {
             headers = vec![("Jayreel-Parent", parent.to_string())];
         }
-        let answer = self.until_answered("POST", "/v1/programs", &headers, "{}", true)?;
+        let answer =
+            self.send_with_retries("POST", "/v1/programs", &headers, "{}", true)?;
         let id = answer["id"].as_str().map(str::to_string);
-        id.ok_or_else(|| Stop::Failed("no_program".to_string()))
+        id.ok_or_else(|| SessionError::Failed("no_program".to_string()))
     }
 
-    fn chat(&mut self, new_tokens: usize, answer_tokens: u64) -> Result<(), Stop> {
-        let content = text(&mut self.rng, new_tokens);
+    fn call_model(
+        &mut self,
+        new_tokens: usize,
+        answer_tokens: u64,
+    ) -> Result<(), SessionError> {
+        let content = random_text(&mut self.rng, new_tokens);
         self.messages
             .push(json!({ "role": "user", "content": content }));
         let body = json!({
@@ -254,7 +281,7 @@
             None => vec![("Jayreel-Profile", self.profile.to_string())],
         };
         let answer =
-            self.until_answered("POST", path, &headers, &body.to_string(), true)?;
+            self.send_with_retries("POST", path, &headers, &body.to_string(), true)?;
         let usage = &answer["usage"];
         let prompt = usage["prompt_tokens"].as_u64().unwrap_or(0);
         let cached = usage["prompt_tokens_details"]["cached_tokens"]
@@ -262,9 +289,9 @@
             .unwrap_or(0);
         let generated = usage["completion_tokens"].as_u64().unwrap_or(0);
         let whole_blocks = self.history_tokens / BLOCK_TOKENS * BLOCK_TOKENS;
-        self.shared.lock().calls.push(CallRecord {
+        self.run_state.lock().calls.push(CallRecord {
             customer: self.customer,
-            finished_ms: self.shared.now_ms(),
+            finished_ms: self.run_state.now_ms(),
             work: work(self.history_tokens, prompt, generated),
             recomputed_tokens: whole_blocks.saturating_sub(cached),
             history_tokens: whole_blocks,
@@ -275,73 +302,78 @@
         Ok(())
     }
 
-    fn service(&mut self) -> Result<(), Stop> {
+    fn call_service(&mut self) -> Result<(), SessionError> {
         self.calls += 1;
         let mut headers = vec![("Idempotency-Key", format!("call-{}", self.calls))];
         if let Some(program) = &self.program {
             headers.push(("Jayreel-Program", program.clone()));
         }
-        self.until_answered("POST", "/tool/run", &headers, "{}", false)?;
+        self.send_with_retries("POST", "/tool/run", &headers, "{}", false)?;
         Ok(())
     }
 
-    /// Sends a request, and again after refusals and, if it may run twice, failures.
-    fn until_answered(
+    /// Sends a request until it succeeds or is given up. Repeats it after a refusal or failure
+    /// only if it may run twice or the response says that it has not run.
+    fn send_with_retries(
         &mut self,
         method: &str,
         path: &str,
         headers: &[(&str, String)],
         body: &str,
-        repeatable: bool,
-    ) -> Result<Value, Stop> {
-        let counts = path != "/v1/programs";
+        may_run_twice: bool,
+    ) -> Result<Value, SessionError> {
+        let counts_against_rate = path != "/v1/programs";
         let (mut refusals, mut failures) = (0, 0);
         loop {
-            if self.shared.stopped() {
-                return Err(Stop::Cut);
+            if self.run_state.stopped() {
+                return Err(SessionError::Unfinished);
             }
-            let now_ms = self.shared.now_ms();
-            let within_rate = !counts || self.shared.lock().send(self.customer, now_ms);
+            let now_ms = self.run_state.now_ms();
+            let within_rate =
+                !counts_against_rate || self.run_state.lock().send(self.customer, now_ms);
             let (status, retry_after_s, answer) =
                 match self.send(method, path, headers, body) {
                     Some(answer) => answer,
                     None => (0, 0, Value::Null),
                 };
-            if self.shared.stopped() && !(200..300).contains(&status) {
-                return Err(Stop::Cut);
+            if self.run_state.stopped() && !(200..300).contains(&status) {
+                return Err(SessionError::Unfinished);
             }
             let error = &answer["error"];
             let code = error["code"].as_str().unwrap_or("connection").to_string();
-            let not_run = error["ran"] == json!("no");
+            let has_not_run = error["ran"] == json!("no");
             match status {
                 200..300 => return Ok(answer),
-                409 if code == "budget_exhausted" => return Err(Stop::Budget),
+                409 if code == "budget_exhausted" => {
+                    return Err(SessionError::BudgetExhausted);
+                }
                 429 | 503 => {
-                    if counts {
-                        let mut records = self.shared.lock();
+                    if counts_against_rate {
+                        let mut records = self.run_state.lock();
                         records.refuse(self.customer, within_rate, &code);
                     }
                     refusals += 1;
-                    if refusals >= MAX_REFUSALS || !(not_run || repeatable) {
-                        return Err(Stop::Failed(code));
+                    if refusals >= MAX_REFUSALS || !(has_not_run || may_run_twice) {
+                        return Err(SessionError::Failed(code));
                     }
                     let wait_ms = (retry_after_s * 1_000).max(RETRY_PAUSE_MS);
-                    self.shared.sleep_ms(wait_ms);
+                    self.run_state.sleep_ms(wait_ms);
                 }
-                0 | 502 | 504 if repeatable || not_run => {
+                0 | 502 | 504 if may_run_twice || has_not_run => {
                     failures += 1;
-                    if failures >= MAX_FAILURES {
-                        return Err(Stop::Failed(code));
+                    if failures >= MAX_ATTEMPTS {
+                        return Err(SessionError::Failed(code));
                     }
-                    self.entry = self.shared.pick(&mut self.rng);
-                    self.shared.sleep_ms(RETRY_PAUSE_MS);
+                    self.target = self.run_state.pick_healthy(&mut self.rng);
+                    self.run_state.sleep_ms(RETRY_PAUSE_MS);
                 }
-                _ => return Err(Stop::Failed(code)),
+                _ => return Err(SessionError::Failed(code)),
             }
         }
     }
 
-    /// Sends a request. `None` if the connection failed.
+    /// Sends a request once. Returns the status, the seconds in `Retry-After` (0 if it is
+    /// absent) and the body, or `None` if the connection failed.
     fn send(
         &self,
         method: &str,
@@ -349,9 +381,9 @@
         headers: &[(&str, String)],
         body: &str,
     ) -> Option<(u16, u64, Value)> {
-        let delay = Duration::from_millis(self.shared.deployment.caller_delay_ms);
+        let delay = Duration::from_millis(self.run_state.deployment.caller_delay_ms);
         thread::sleep(delay * 2);
-        let address = self.shared.entries[self.entry].address;
+        let address = self.run_state.balancer_targets[self.target].address;
         let mut request = ureq::http::Request::builder()
             .method(method)
             .uri(format!("http://{address}{path}"))
@@ -375,7 +407,8 @@
     }
 }
 
-/// The cache tag of a program, from the readable part of its token.
+/// The tag under which engines cache the prompts of a program, derived from the payload of the
+/// program's token.
 fn cache_tag(token: &str) -> Option<String> {
     let (payload, _) = token.split_once('.')?;
     let json = URL_SAFE_NO_PAD.decode(payload).ok()?;
--- a/crates/bench/src/policy/deployment.rs
+++ b/crates/bench/src/policy/deployment.rs
@@ -1,56 +1,56 @@
-//! The two deployments at their current sizes, with scaled times.
+//! The two simulated deployments, with their current sizes and with times that are scaled down.
 //!
 //! A generated token takes 10 ms instead of about 40 ms, pauses are a quarter of real
 //! ones, and histories reach thousands instead of tens of thousands of tokens. Prefill
 //! keeps the 100 µs per token that the product's policies assume.
 
-/// Time of a prompt token that is not cached.
+/// Time that an engine takes for a prompt token that is not cached, in microseconds.
 pub(crate) const PREFILL_US_PER_TOKEN: u64 = 100;
-/// Time of a generated token of a call that runs alone.
+/// Time for each generated token of a call that runs alone on its worker, in microseconds.
 pub(crate) const TOKEN_US: u64 = 10_000;
-/// Added for each call that runs beside it.
+/// Added to [`TOKEN_US`] for each other call that runs on the worker at the same time.
 pub(crate) const BATCH_SLOWDOWN_US: u64 = 500;
-/// Calls that a worker runs at the same time.
+/// Number of calls that a worker runs at the same time.
 pub(crate) const WORKER_SLOTS: usize = 4;
-/// Size of a worker's prefix cache.
+/// Size of a worker's prefix cache in tokens.
 pub(crate) const WORKER_CACHE_TOKENS: u64 = 40_000;
-/// Calls that a plain service runs at the same time.
+/// Number of calls that a plain service runs at the same time.
 pub(crate) const SERVICE_SLOTS: usize = 4;
-/// Time of a call to a plain service.
+/// Time that a plain service takes for a call, in milliseconds.
 pub(crate) const SERVICE_MS: u64 = 120;
-/// Tokens of the system prompt that all programs of a customer share.
+/// Length of the system prompt that all programs of a customer share, in tokens.
 pub(crate) const SYSTEM_TOKENS: usize = 256;
-/// Budget of the profile `loop` in tokens.
+/// Token budget of the profile `loop`.
 pub(crate) const LOOP_BUDGET_TOKENS: u64 = 16_000;
-/// The model of all workers.
+/// Name of the model that all workers serve.
 pub(crate) const MODEL: &str = "bench-model";
-/// Entry instances.
+/// Number of instances in a run.
 pub(crate) const INSTANCES: usize = 6;
 
-/// A customer.
+/// A customer of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CustomerPlan {
     pub(crate) name: &'static str,
-    /// Part of the whole load in percent, and weight in fair queueing.
+    /// Share of the total load in percent. Also the customer's weight in fair queueing.
     pub(crate) load_percent: u32,
 }
 
-/// What a program does.
+/// Kinds of agent programs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Kind {
+pub(crate) enum ProgramKind {
     /// A few short turns while a person waits.
-    Desk,
-    /// One call without a program.
+    ShortTask,
+    /// A single call, sent without opening a program.
     Question,
     /// A growing history with tool calls and sometimes sub-agents.
     Summary,
-    /// Many turns with pauses of a person.
+    /// Many turns, with pauses by a person between them.
     Conversation,
-    /// Repeats itself until the budget ends.
+    /// Calls the model over and over until the token budget is used up.
     Loop,
 }
 
-/// A deployment.
+/// A simulated deployment.
 #[derive(Debug)]
 pub(crate) struct Deployment {
     /// The value of `--deployment`.
@@ -60,20 +60,20 @@
     pub(crate) services: usize,
     pub(crate) worker_group: &'static str,
     pub(crate) service_group: &'static str,
-    /// One way between callers and instances.
+    /// Network delay between callers and instances in one direction.
     pub(crate) caller_delay_ms: u64,
     pub(crate) customers: &'static [CustomerPlan; 8],
-    /// The customer that floods.
-    pub(crate) flooder: usize,
+    /// Index of the customer that exceeds its rate in the scenario `flood`.
+    pub(crate) flooding_customer: usize,
     /// Kinds of programs with their frequency in percent.
-    pub(crate) kinds: &'static [(Kind, u32)],
-    /// Time that the calls of the trace would hold worker slots if each prefix was
-    /// cached, as a part of all slots in percent.
+    pub(crate) kinds: &'static [(ProgramKind, u32)],
+    /// Load that the trace generator aims for: the percentage of all worker slots that the
+    /// calls would occupy if every prefix was cached.
     pub(crate) ideal_load_percent: u64,
 }
 
 impl Deployment {
-    /// Calls that all workers run at the same time.
+    /// Number of calls that all workers together run at the same time.
     pub(crate) fn slots(&self) -> usize {
         self.workers * WORKER_SLOTS
     }
@@ -107,8 +107,12 @@
         customer("parks", 5),
         customer("harbour", 5),
     ],
-    flooder: 1,
-    kinds: &[(Kind::Desk, 62), (Kind::Summary, 33), (Kind::Loop, 5)],
+    flooding_customer: 1,
+    kinds: &[
+        (ProgramKind::ShortTask, 62),
+        (ProgramKind::Summary, 33),
+        (ProgramKind::Loop, 5),
+    ],
     ideal_load_percent: 85,
 };
 
@@ -131,14 +135,14 @@
         customer("crop", 5),
         customer("pension", 5),
     ],
-    flooder: 1,
+    flooding_customer: 1,
     kinds: &[
-        (Kind::Question, 66),
-        (Kind::Conversation, 30),
-        (Kind::Loop, 4),
+        (ProgramKind::Question, 66),
+        (ProgramKind::Conversation, 30),
+        (ProgramKind::Loop, 4),
     ],
     ideal_load_percent: 85,
 };
 
-/// All deployments.
+/// All deployments, in the order of their runs.
 pub(crate) const ALL: [&Deployment; 2] = [&DERWENT_VALLEY, &THANH_LONG];
--- a/crates/bench/src/policy/fleet.rs
+++ b/crates/bench/src/policy/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet of real instances with stand-ins in this process.
+//! A fleet of real instances for one run, with engines, services and the store as stand-ins in
+//! this process. Also applies the faults of a scenario.
 
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -23,13 +24,14 @@
     WORKER_SLOTS,
 };
 use super::scenario::Variant;
-use super::trace::Contract;
+use super::trace::RateLimit;
 
-const READY_LIMIT: Duration = Duration::from_secs(40);
-/// Lag of the engines' load reports.
-const LOAD_LAG_MS: u64 = 250;
+/// Time limit for all instances to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(40);
+/// How far the load that engines report lags behind their real load.
+const LOAD_REPORT_LAG_MS: u64 = 250;
 
-/// An instance. Killed when dropped.
+/// The process of an instance, killed when this value is dropped.
 struct Instance {
     child: Child,
     zone: &'static str,
@@ -42,44 +44,45 @@
     }
 }
 
-/// Where callers reach an instance.
-pub(crate) struct Entry {
+/// An instance as the load balancer sees it.
+pub(crate) struct BalancerTarget {
     pub(crate) address: SocketAddr,
-    /// Whether the load balancer sends callers there.
+    /// Whether the load balancer sends calls to the instance.
     pub(crate) healthy: AtomicBool,
 }
 
-/// Instances, engines, services and the store.
+/// The processes and stand-ins of one run.
 pub(crate) struct Fleet {
     gateway: StoreGateway,
     store: MemoryStore,
     pub(crate) engines: Vec<Engine>,
     services: Vec<PlainService>,
     instances: Vec<Instance>,
-    /// In the order of the instances.
-    entries: Arc<Vec<Entry>>,
+    /// One for each instance that was started, including those killed since.
+    balancer_targets: Arc<Vec<BalancerTarget>>,
 }
 
-/// What is started.
-pub(crate) struct FleetPlan<'a> {
+/// Parameters of [`Fleet::start`].
+pub(crate) struct FleetOptions<'a> {
     pub(crate) binary: &'a Path,
-    /// For settings and logs of the instances.
+    /// Directory for the settings and logs of the instances.
     pub(crate) directory: PathBuf,
     pub(crate) deployment: &'static Deployment,
     pub(crate) variant: Variant,
-    pub(crate) contracts: &'a [Contract],
+    pub(crate) rate_limits: &'a [RateLimit],
 }
 
-/// The key of a customer.
-pub(crate) fn key_of(customer: &str) -> String {
+/// The API key of a customer, derived from its name.
+pub(crate) fn customer_key(customer: &str) -> String {
     format!("{customer}-bench-key")
 }
 
 impl Fleet {
-    /// Starts everything and waits until all instances are ready.
-    pub(crate) fn start(plan: &FleetPlan<'_>) -> eyre::Result<Fleet> {
+    /// Starts the stand-ins, writes the configuration, starts the instances and waits until
+    /// all of them are ready.
+    pub(crate) fn start(options: &FleetOptions<'_>) -> eyre::Result<Fleet> {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        fs::create_dir_all(&plan.directory)?;
+        fs::create_dir_all(&options.directory)?;
         let store = MemoryStore::new();
         let gateway = StoreGateway::start(any, store.clone())?;
         let engine = EngineSettings {
@@ -91,13 +94,13 @@
             answer_tokens: 1_000,
             ..EngineSettings::default()
         };
-        let engines = (0..plan.deployment.workers)
+        let engines = (0..options.deployment.workers)
             .map(|_| Engine::start(any, engine.clone()))
             .collect::<Result<Vec<_>, _>>()?;
         let service = ServiceSettings {
             work_ms: SERVICE_MS,
         };
-        let services = (0..plan.deployment.services)
+        let services = (0..options.deployment.services)
             .map(|_| PlainService::start(any, service))
             .collect::<Result<Vec<_>, _>>()?;
         let mut fleet = Fleet {
@@ -106,24 +109,24 @@
             engines,
             services,
             instances: Vec::new(),
-            entries: Arc::default(),
+            balancer_targets: Arc::default(),
         };
         for engine in &fleet.engines {
-            engine.faults().set(usual_faults());
+            engine.faults().set(baseline_faults());
         }
-        fleet.configure(plan)?;
-        let mut entries = Vec::new();
+        fleet.configure(options)?;
+        let mut balancer_targets = Vec::new();
         for index in 0..INSTANCES {
-            entries.push(fleet.start_instance(plan, index)?);
+            balancer_targets.push(fleet.start_instance(options, index)?);
         }
-        fleet.entries = Arc::new(entries);
+        fleet.balancer_targets = Arc::new(balancer_targets);
         fleet.wait_ready()?;
         Ok(fleet)
     }
 
-    /// Where callers reach the instances.
-    pub(crate) fn entries(&self) -> Arc<Vec<Entry>> {
-        Arc::clone(&self.entries)
+    /// The instances among which callers choose.
+    pub(crate) fn balancer_targets(&self) -> Arc<Vec<BalancerTarget>> {
+        Arc::clone(&self.balancer_targets)
     }
 
     fn put(&self, key: &str, value: &Value) -> eyre::Result<()> {
@@ -138,23 +141,24 @@
         };
         self.store
             .commit(transaction)
-            .map_err(|error| eyre!("cannot configure: {error:?}"))?;
+            .map_err(|error| eyre!("cannot write config/{key}: {error:?}"))?;
         Ok(())
     }
 
-    fn configure(&self, plan: &FleetPlan<'_>) -> eyre::Result<()> {
-        let deployment = plan.deployment;
-        for (customer, contract) in deployment.customers.iter().zip(plan.contracts) {
+    fn configure(&self, options: &FleetOptions<'_>) -> eyre::Result<()> {
+        let deployment = options.deployment;
+        for (customer, rate_limit) in deployment.customers.iter().zip(options.rate_limits)
+        {
             let name = customer.name;
             self.put(
                 &format!("customers/{name}"),
                 &json!({
-                    "rate_mreq_per_s": contract.rate_mreq_per_s,
-                    "burst_mreq": contract.burst_mreq,
+                    "rate_mreq_per_s": rate_limit.rate_mreq_per_s,
+                    "burst_mreq": rate_limit.burst_mreq,
                     "weight": customer.load_percent,
                 }),
             )?;
-            let hash = KeyHash::of_key(&key_of(name));
+            let hash = KeyHash::of_key(&customer_key(name));
             self.put(&format!("keys/{hash}"), &json!({ "customer": name }))?;
         }
         self.put("profiles/interactive", &json!({ "class": "interactive" }))?;
@@ -192,50 +196,51 @@
 
     fn start_instance(
         &mut self,
-        plan: &FleetPlan<'_>,
+        options: &FleetOptions<'_>,
         index: usize,
-    ) -> eyre::Result<Entry> {
-        let zone = plan.deployment.zone(index);
-        let text = settings(plan.variant, zone, index, self.gateway.address());
-        let path = plan.directory.join(format!("entry-{index}.ini"));
+    ) -> eyre::Result<BalancerTarget> {
+        let zone = options.deployment.zone(index);
+        let text = settings(options.variant, zone, index, self.gateway.address());
+        let path = options.directory.join(format!("entry-{index}.ini"));
         fs::write(&path, text)?;
-        let log = fs::File::create(plan.directory.join(format!("entry-{index}.log")))?;
-        let child = Command::new(plan.binary)
+        let log = fs::File::create(options.directory.join(format!("entry-{index}.log")))?;
+        let child = Command::new(options.binary)
             .args(["serve", "--config"])
             .arg(path)
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
             .stderr(log)
             .spawn()
-            .wrap_err("cannot start an instance")?;
+            .wrap_err_with(|| format!("cannot start {}", options.binary.display()))?;
         let mut instance = Instance { child, zone };
         let stdout = instance.child.stdout.take();
-        let stdout = stdout.ok_or_else(|| eyre!("no standard output"))?;
+        let stdout = stdout
+            .ok_or_else(|| eyre!("standard output of the instance is not a pipe"))?;
         let mut line = String::new();
         BufReader::new(stdout).read_line(&mut line)?;
         let callers = line
             .split_whitespace()
             .find_map(|field| field.strip_prefix("callers="))
-            .ok_or_else(|| eyre!("an instance did not start, see its log"))?;
-        let entry = Entry {
+            .ok_or_else(|| eyre!("entry-{index} did not start, see its log"))?;
+        let target = BalancerTarget {
             address: callers.parse()?,
             healthy: AtomicBool::new(true),
         };
         self.instances.push(instance);
-        Ok(entry)
+        Ok(target)
     }
 
     fn wait_ready(&self) -> eyre::Result<()> {
-        let deadline = Instant::now() + READY_LIMIT;
+        let deadline = Instant::now() + READY_TIMEOUT;
         let agent: ureq::Agent = ureq::Agent::config_builder()
             .timeout_global(Some(Duration::from_secs(2)))
             .build()
             .into();
-        for entry in self.entries.iter() {
-            let address = format!("http://{}/readyz", entry.address);
+        for target in self.balancer_targets.iter() {
+            let address = format!("http://{}/readyz", target.address);
             while agent.get(&address).call().is_err() {
                 if Instant::now() > deadline {
-                    return Err(eyre!("an instance is not ready"));
+                    return Err(eyre!("{address} did not report ready"));
                 }
                 std::thread::sleep(Duration::from_millis(100));
             }
@@ -243,8 +248,9 @@
         Ok(())
     }
 
-    /// Kills the instances of a zone and freezes its workers and services.
-    pub(crate) fn end_zone(&mut self, deployment: &Deployment, zone: &str) {
+    /// Simulates the loss of a zone: kills its instances, and freezes its workers and services.
+    /// [`Fleet::remove_zone_from_balancer`] updates the load balancer later.
+    pub(crate) fn kill_zone(&mut self, deployment: &Deployment, zone: &str) {
         let frozen = Faults {
             freeze: true,
             ..Faults::default()
@@ -262,16 +268,16 @@
         self.instances.retain(|instance| instance.zone != zone);
     }
 
-    /// Takes the instances of a zone out of the load balancer.
-    pub(crate) fn stop_sending_to_zone(&self, deployment: &Deployment, zone: &str) {
-        for (index, entry) in self.entries.iter().enumerate() {
+    /// Marks the instances of a zone as unhealthy, so that the load balancer skips them.
+    pub(crate) fn remove_zone_from_balancer(&self, deployment: &Deployment, zone: &str) {
+        for (index, target) in self.balancer_targets.iter().enumerate() {
             if deployment.zone(index) == zone {
-                entry.healthy.store(false, Ordering::SeqCst);
+                target.healthy.store(false, Ordering::SeqCst);
             }
         }
     }
 
-    /// Lets the store refuse connections, or ends that.
+    /// Makes the store refuse connections, or accept them again.
     pub(crate) fn set_store_down(&self, down: bool) {
         let down = match down {
             true => Down::Refuse,
@@ -283,18 +289,18 @@
         });
     }
 
-    /// Freezes the first `count` workers, or ends that. Connections that were used in
-    /// the meantime stay silent.
-    pub(crate) fn set_frozen(&self, count: usize, freeze: bool) {
+    /// Freezes or unfreezes the first `count` workers. Connections used while a worker was
+    /// frozen stay silent afterwards.
+    pub(crate) fn set_workers_frozen(&self, count: usize, freeze: bool) {
         for engine in &self.engines[..count] {
             engine.faults().set(Faults {
                 freeze,
-                ..usual_faults()
+                ..baseline_faults()
             });
         }
     }
 
-    /// Cached tokens of each tag at each engine that answers.
+    /// Lists the cached tokens by tag, for each engine. Skips engines that do not respond.
     pub(crate) fn cached_tokens(&self) -> Vec<(String, u64)> {
         let agent: ureq::Agent = ureq::Agent::config_builder()
             .timeout_global(Some(Duration::from_secs(1)))
@@ -322,18 +328,20 @@
     }
 }
 
-fn usual_faults() -> Faults {
+/// Faults that all engines have throughout a run: a lag of their load reports.
+fn baseline_faults() -> Faults {
     Faults {
-        load_lag_ms: LOAD_LAG_MS,
+        load_lag_ms: LOAD_REPORT_LAG_MS,
         ..Faults::default()
     }
 }
 
+/// The settings file of an instance.
 fn settings(variant: Variant, zone: &str, index: usize, store: SocketAddr) -> String {
     let admin_hash = blake3::hash(b"bench admin key");
     let secret = blake3::hash(b"bench fleet secret");
     let policy = variant.settings();
-    // Deadlines and intervals are scaled like the times of the engines.
+    // Timeouts and intervals are scaled down like the times of the engines.
     format!(
         "[instance]\nname = entry-{index}\navailability_zone = {zone}\n\
          [callers]\nlisten = 127.0.0.1:0\n\
--- a/crates/bench/src/policy/scenario.rs
+++ b/crates/bench/src/policy/scenario.rs
@@ -1,6 +1,6 @@
-//! Variants of the product and scenarios of a run.
+//! What varies between runs: the policies under test, and the faults or floods during the run.
 
-/// Which policies decide.
+/// Policies that an instance uses. Round robin and fewest outstanding calls are the baselines.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Variant {
     /// Round robin with first come, first served.
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Lines of the settings section `policy`.
+    /// Lines for the section `policy` of the settings file. Empty for the product's defaults.
     pub(crate) fn settings(self) -> &'static str {
         match self {
             Variant::RoundRobin => {
@@ -40,18 +40,18 @@
     }
 }
 
-/// What happens during a run.
+/// Faults and floods of a run. They begin at [`DISTURBANCE_START_MS`](super::trace::DISTURBANCE_START_MS).
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Scenario {
-    /// Nothing.
+    /// No faults and no flood.
     Calm,
     /// One customer sends five times its rate.
     Flood,
-    /// The instances of a zone are killed; its workers and services freeze.
+    /// The instances of one zone are killed, and its workers and services freeze.
     DeadZone,
-    /// The store refuses connections for a while.
+    /// The store refuses connections for a while (`run::FAULT_DURATION_MS`).
     StoreOutage,
-    /// Two workers freeze for a while.
+    /// Two workers freeze for a while (`run::FAULT_DURATION_MS`).
     FrozenWorkers,
 }
 
