--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -62,6 +62,7 @@
     Ok(())
 }
 
+/// Scheduler statistics of each of the [`OBSERVED_THREADS`] of a process.
 fn thread_sched_stats(id: u32) -> eyre::Result<Vec<SchedStats>> {
     let threads = OBSERVED_THREADS.iter();
     threads
@@ -84,6 +85,7 @@
     }
 }
 
+/// Starts an instance and waits until it accepts calls.
 fn start(test_bed: &TestBed) -> eyre::Result<Instance> {
     let addresses = Addresses {
         store: test_bed.gateway.address(),
@@ -197,6 +199,7 @@
     println!("  highest rate held: {highest_sustained:.0}/s");
 }
 
+/// Sends requests at a rate for [`RATE_STEP_S`].
 fn run_at_rate(target: std::net::SocketAddr, rate: f64) -> Outcome {
     overhead_load::run(Load {
         target,
--- a/crates/bench/src/overhead_load.rs
+++ b/crates/bench/src/overhead_load.rs
@@ -115,6 +115,7 @@
     total
 }
 
+/// Body of a caller thread. Takes the next request from `next` until all have been sent.
 fn send_requests(load: Load, start: Instant, next: &AtomicU64) -> Outcome {
     let agent: ureq::Agent = ureq::Agent::config_builder()
         .http_status_as_error(false)
@@ -132,15 +133,17 @@
         let due = start + Duration::from_secs_f64(index as f64 / load.rate);
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
         match send(&agent, &url, &body, due) {
-            Some((first, whole)) => {
-                let _ = outcome.first_byte_us.record(first.as_micros() as u64);
-                let _ = outcome.total_us.record(whole.as_micros() as u64);
+            Some((first_byte, total)) => {
+                let _ = outcome.first_byte_us.record(first_byte.as_micros() as u64);
+                let _ = outcome.total_us.record(total.as_micros() as u64);
             }
             None => outcome.failed += 1,
         }
     }
 }
 
+/// Sends a request and reads the response to its end. Returns the times to the first byte and to
+/// the end, both counted from `due`, or `None` unless the response is complete and has status 200.
 fn send(
     agent: &ureq::Agent,
     url: &str,
@@ -158,13 +161,13 @@
     }
     let mut reader = response.into_body().into_reader();
     let mut buffer = [0; 4_096];
-    let mut first = None;
+    let mut first_byte = None;
     loop {
         match reader.read(&mut buffer) {
             Ok(0) => break,
-            Ok(_) => first = first.or(Some(due.elapsed())),
+            Ok(_) => first_byte = first_byte.or(Some(due.elapsed())),
             Err(_) => return None,
         }
     }
-    Some((first?, due.elapsed()))
+    Some((first_byte?, due.elapsed()))
 }
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -140,7 +140,7 @@
         thread::available_parallelism().map_or(0, usize::from),
         report::table(&finished),
         report::compare_with_goals(&finished),
-        report::refusals_and_failures(&finished),
+        report::group_details(&finished),
     );
     println!("{text}");
     println!("plot: {}", plot.display());
--- a/crates/bench/src/policy/caller.rs
+++ b/crates/bench/src/policy/caller.rs
@@ -38,7 +38,9 @@
     pub(crate) deployment: &'static Deployment,
     pub(crate) balancer_targets: Arc<Vec<BalancerTarget>>,
     pub(crate) records: Mutex<Records>,
+    /// Set when the run ends. Callers then stop at their next step.
     pub(crate) stop: AtomicBool,
+    /// Start of the run, from which the times of a trace count.
     pub(crate) started: Instant,
     /// Running programs of customers that do not flood.
     pub(crate) running: AtomicU64,
@@ -55,10 +57,12 @@
         self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Whether the run has ended.
     pub(crate) fn stopped(&self) -> bool {
         self.stop.load(Ordering::SeqCst)
     }
 
+    /// Sleeps for this time, or until the run ends.
     fn sleep_ms(&self, ms: u64) {
         let end = Instant::now() + Duration::from_millis(ms);
         while !self.stopped() {
@@ -150,13 +154,13 @@
 /// Random text of the given number of tokens. Each token is a word of three letters and a
 /// space.
 fn random_text(rng: &mut SmallRng, tokens: usize) -> String {
-    const DIGITS: &[u8] = b"abcdefghijklmnopqrstuvwxyz";
+    const LETTERS: &[u8] = b"abcdefghijklmnopqrstuvwxyz";
     let mut text = String::with_capacity(tokens * 4);
     for _ in 0..tokens {
-        let mut number: usize = rng.random_range(0..DIGITS.len().pow(3));
+        let mut number: usize = rng.random_range(0..LETTERS.len().pow(3));
         for _ in 0..3 {
-            text.push(char::from(DIGITS[number % DIGITS.len()]));
-            number /= DIGITS.len();
+            text.push(char::from(LETTERS[number % LETTERS.len()]));
+            number /= LETTERS.len();
         }
         text.push(' ');
     }
@@ -228,6 +232,7 @@
         Ok(())
     }
 
+    /// Runs sub-agents in parallel, as child programs of this one, and waits for all.
     fn run_sub_agents(&mut self, agents: &[Vec<Step>]) -> Result<(), SessionError> {
         let parent = self.program.clone();
         let parent = parent.as_deref();
@@ -251,6 +256,7 @@
         })
     }
 
+    /// Opens a program and returns its token. A sub-agent names its parent instead of a profile.
     fn open_program(&mut self, parent: Option<&str>) -> Result<String, SessionError> {
         let mut headers = vec![("Jayreel-Profile", self.profile.to_string())];
         if let Some(parent) = parent {
@@ -262,6 +268,7 @@
         id.ok_or_else(|| SessionError::Failed("no_program".to_string()))
     }
 
+    /// Sends a model call with a new message, and records it if it succeeds.
     fn call_model(
         &mut self,
         new_tokens: usize,
@@ -302,6 +309,7 @@
         Ok(())
     }
 
+    /// Sends a call to a plain service, with an idempotency key.
     fn call_service(&mut self) -> Result<(), SessionError> {
         self.calls += 1;
         let mut headers = vec![("Idempotency-Key", format!("call-{}", self.calls))];
@@ -329,8 +337,8 @@
                 return Err(SessionError::Unfinished);
             }
             let now_ms = self.run_state.now_ms();
-            let within_rate =
-                !counts_against_rate || self.run_state.lock().send(self.customer, now_ms);
+            let within_rate = !counts_against_rate
+                || self.run_state.lock().count_request(self.customer, now_ms);
             let (status, retry_after_s, answer) =
                 match self.send(method, path, headers, body) {
                     Some(answer) => answer,
@@ -350,7 +358,7 @@
                 429 | 503 => {
                     if counts_against_rate {
                         let mut records = self.run_state.lock();
-                        records.refuse(self.customer, within_rate, &code);
+                        records.record_refusal(self.customer, within_rate, &code);
                     }
                     refusals += 1;
                     if refusals >= MAX_REFUSALS || !(has_not_run || may_run_twice) {
--- a/crates/bench/src/policy/deployment.rs
+++ b/crates/bench/src/policy/deployment.rs
@@ -56,8 +56,11 @@
     /// The value of `--deployment`.
     pub(crate) name: &'static str,
     pub(crate) zones: &'static [&'static str],
+    /// Number of model engines.
     pub(crate) workers: usize,
+    /// Number of plain services.
     pub(crate) services: usize,
+    /// Names of the endpoint groups of the workers and of the services.
     pub(crate) worker_group: &'static str,
     pub(crate) service_group: &'static str,
     /// Network delay between callers and instances in one direction.
--- a/crates/bench/src/policy/outcome.rs
+++ b/crates/bench/src/policy/outcome.rs
@@ -53,11 +53,14 @@
 #[derive(Clone, Debug)]
 struct TokenBucket {
     rate_limit: RateLimit,
+    /// Requests that may be sent now, in thousandths.
     available_mreq: u64,
+    /// Time of the last refill, since the start of the run.
     updated_at_ms: u64,
 }
 
 impl TokenBucket {
+    /// Adds what the rate has allowed since the last refill.
     fn refill(&mut self, now_ms: u64) {
         let elapsed_ms = now_ms.saturating_sub(self.updated_at_ms);
         self.updated_at_ms = self.updated_at_ms.max(now_ms);
@@ -66,6 +69,7 @@
             (self.available_mreq + gained).min(self.rate_limit.burst_mreq);
     }
 
+    /// Takes one request from the bucket. Returns whether the bucket held one.
     fn try_take(&mut self, now_ms: u64) -> bool {
         self.refill(now_ms);
         let is_within_rate = self.available_mreq >= 1_000;
@@ -115,13 +119,18 @@
 
     /// Counts a request against the customer's rate when it is sent. Returns whether it is
     /// within the rate.
-    pub(crate) fn send(&mut self, customer: usize, now_ms: u64) -> bool {
+    pub(crate) fn count_request(&mut self, customer: usize, now_ms: u64) -> bool {
         self.buckets[customer].try_take(now_ms)
     }
 
     /// Records a refusal with status 429 or 503. A refused request does not count against the
     /// rate.
-    pub(crate) fn refuse(&mut self, customer: usize, within_rate: bool, code: &str) {
+    pub(crate) fn record_refusal(
+        &mut self,
+        customer: usize,
+        within_rate: bool,
+        code: &str,
+    ) {
         if within_rate {
             self.buckets[customer].available_mreq += 1_000;
             let key = (customer, code.to_string());
@@ -133,6 +142,7 @@
 /// The measures of one run.
 #[derive(Clone, Debug)]
 pub(crate) struct Measures {
+    /// Percentiles of the program latencies.
     pub(crate) p50_ms: u64,
     pub(crate) p95_ms: u64,
     pub(crate) p99_ms: u64,
@@ -249,6 +259,7 @@
     (median(false), median(true))
 }
 
+/// The nearest-rank percentile, or 0 without any values.
 fn percentile(sorted: &[u64], percent: usize) -> u64 {
     let rank = (sorted.len() * percent).div_ceil(100);
     sorted.get(rank.saturating_sub(1)).copied().unwrap_or(0)
--- a/crates/bench/src/policy/report.rs
+++ b/crates/bench/src/policy/report.rs
@@ -29,6 +29,7 @@
         values[values.len() / 2]
     }
 
+    /// Formats the median of a measure, with its lowest and highest value in parentheses.
     fn median_with_range(
         &self,
         of: impl Fn(&Measures) -> u64,
@@ -108,9 +109,9 @@
     out
 }
 
-/// Markdown list with details of each group, such as its refusals and failures by error code,
-/// summed over the runs.
-pub(crate) fn refusals_and_failures(finished: &[FinishedRun]) -> String {
+/// Markdown list with details of each group that are not in the table, such as refusals and
+/// failures by error code, summed over the runs.
+pub(crate) fn group_details(finished: &[FinishedRun]) -> String {
     let mut out = String::new();
     for group in group_runs(finished) {
         let wrongful_refusals =
@@ -141,6 +142,7 @@
     out
 }
 
+/// Adds up the counts of all runs for each error code.
 fn sum_by_code<'a>(
     counts: impl Iterator<Item = &'a BTreeMap<String, u64>>,
 ) -> BTreeMap<String, u64> {
@@ -151,6 +153,7 @@
     total
 }
 
+/// Formats counts by error code as a comma-separated list.
 fn format_counts(counts: &BTreeMap<String, u64>) -> String {
     let items: Vec<String> = counts
         .iter()
--- a/crates/bench/src/policy/scenario.rs
+++ b/crates/bench/src/policy/scenario.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Faults and floods of a run. They begin at [`DISTURBANCE_START_MS`](super::trace::DISTURBANCE_START_MS).
+/// Faults and floods of a run. They begin at `trace::DISTURBANCE_START_MS`.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Scenario {
     /// No faults and no flood.
--- a/crates/bench/src/policy/trace.rs
+++ b/crates/bench/src/policy/trace.rs
@@ -139,6 +139,7 @@
     plans
 }
 
+/// Picks a kind with its probability. The percentages add up to 100.
 fn pick_kind(kinds: &[(ProgramKind, u32)], rng: &mut SmallRng) -> ProgramKind {
     let mut number = rng.random_range(0..100);
     for (kind, percent) in kinds {
@@ -150,6 +151,8 @@
     kinds[0].0
 }
 
+/// Generates the steps of a program. The numbers are the ranges of each kind: see
+/// [`generate_turns`] for their meaning.
 fn generate_steps(kind: ProgramKind, rng: &mut SmallRng) -> Vec<Step> {
     match kind {
         ProgramKind::Question => vec![random_chat(200..600, 15..40, rng)],
@@ -173,6 +176,9 @@
 /// Generates a conversation of model calls. Before each later call is a service call or a
 /// pause, with equal probability. With a probability of `sub_agent_percent`, sub-agents run
 /// halfway through.
+///
+/// `count` is the number of model calls, `first` and `next` are the new tokens of the first call
+/// and of later ones, `answer` the generated tokens, and `pause` the milliseconds of a pause.
 fn generate_turns(
     count: UsizeRange,
     first: UsizeRange,
@@ -203,6 +209,7 @@
     steps
 }
 
+/// Generates the steps of a sub-agent.
 fn sub_agent(rng: &mut SmallRng) -> Vec<Step> {
     let count = rng.random_range(2..4);
     (0..count)
@@ -323,6 +330,7 @@
     now_us
 }
 
+/// Time for which the calls of a program hold worker slots if no call has to wait.
 fn ideal_slot_us(plan: &ProgramPlan) -> u64 {
     ideal_calls(plan).iter().map(|call| call.slot_us).sum()
 }
--- a/crates/bench/src/propagation.rs
+++ b/crates/bench/src/propagation.rs
@@ -385,6 +385,7 @@
     None
 }
 
+/// Starts a streamed chat completion that lasts longer than a round.
 fn open_stream(url: &str, key: &str) -> Result<Response, ureq::Error> {
     let body: Value = json!({
         "model": "test-model",
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -266,6 +266,7 @@
         ids.map(overhead_fleet::usage).collect()
     }
 
+    /// Reads the present totals of the relays, the store and the processes.
     fn counters(&self) -> eyre::Result<Counters> {
         let usages = self.usages()?;
         Ok(Counters {
--- a/crates/bench/src/slopes_relay.rs
+++ b/crates/bench/src/slopes_relay.rs
@@ -145,6 +145,7 @@
     }
 }
 
+/// Relays one connection until it ends or a fault stops it.
 async fn serve(
     incoming: TcpStream,
     target: &OnceLock<SocketAddr>,
