--- a/crates/bench/src/policy/caller.rs
+++ b/crates/bench/src/policy/caller.rs
@@ -104,7 +104,7 @@
     profile: &'static str,
     /// Value of the header `Authorization`.
     authorization: String,
-    agent: Agent,
+    http_agent: Agent,
     /// Index of the instance that calls are sent to.
     target: usize,
     rng: SmallRng,
@@ -189,7 +189,7 @@
             customer,
             profile,
             authorization: format!("Bearer {}", customer_key(name)),
-            agent: config.into(),
+            http_agent: config.into(),
             rng,
             program: None,
             messages: vec![json!({ "role": "system", "content": system })],
@@ -401,7 +401,7 @@
             request = request.header(*name, value);
         }
         let request = request.body(body.to_string()).ok()?;
-        let mut response = self.agent.run(request).ok()?;
+        let mut response = self.http_agent.run(request).ok()?;
         let status = response.status().as_u16();
         let retry_after_s = response
             .headers()
--- a/crates/bench/src/policy/plot.rs
+++ b/crates/bench/src/policy/plot.rs
@@ -10,7 +10,7 @@
 
 /// Width and height of the chart in pixels.
 const SIZE_PX: (u32, u32) = (1_100, 500);
-/// Width of a bar. A group of bars has the width 1.
+/// Width of a bar on the x axis, where each group of bars has the width 1.
 const BAR_WIDTH: f64 = 0.25;
 
 fn color(variant: Variant) -> RGBColor {
@@ -28,8 +28,8 @@
 /// If the file cannot be written.
 pub(crate) fn draw(finished: &[FinishedRun], path: &Path) -> eyre::Result<()> {
     let run_groups = group_runs(finished);
-    let mut groups: Vec<String> = run_groups.iter().map(group_label).collect();
-    groups.dedup();
+    let mut labels: Vec<String> = run_groups.iter().map(group_label).collect();
+    labels.dedup();
     let highest_ms = run_groups
         .iter()
         .map(|group| group.median(|m| m.p95_ms))
@@ -46,17 +46,17 @@
         .margin(10)
         .x_label_area_size(40)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..groups.len() as f64, 0.0..top_s)
+        .build_cartesian_2d(0.0..labels.len() as f64, 0.0..top_s)
         .map_err(|error| drawing_error(&error))?;
     let label = |x: &f64| {
-        let middle = (x.fract() - 0.5).abs() < 0.01;
-        let name = groups.get(*x as usize).filter(|_| middle);
+        let is_group_center = (x.fract() - 0.5).abs() < 0.01;
+        let name = labels.get(*x as usize).filter(|_| is_group_center);
         name.cloned().unwrap_or_default()
     };
     chart
         .configure_mesh()
         .disable_x_mesh()
-        .x_labels(groups.len() * 2 + 1)
+        .x_labels(labels.len() * 2 + 1)
         .x_label_formatter(&label)
         .y_desc("seconds")
         .draw()
@@ -65,7 +65,7 @@
         let style = color(variant).filled();
         let variant_groups = run_groups.iter().filter(|group| group.variant == variant);
         let bars = variant_groups.map(|group| {
-            let position = groups.iter().position(|name| *name == group_label(group));
+            let position = labels.iter().position(|name| *name == group_label(group));
             let left = position.unwrap_or(0) as f64 + 0.12 + BAR_WIDTH * index as f64;
             let height = group.median(|m| m.p95_ms) as f64 / 1_000.0;
             Rectangle::new([(left, 0.0), (left + BAR_WIDTH, height)], style)
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -197,7 +197,7 @@
     store_relay: Relay,
     peer_relays: Vec<Relay>,
     instances: Vec<Instance>,
-    _relays: Relays,
+    relays: Relays,
 }
 
 /// Totals of a fleet since its start, read at one moment.
@@ -235,7 +235,7 @@
             store_relay,
             peer_relays: Vec::new(),
             instances: Vec::new(),
-            _relays: relays,
+            relays,
         };
         for index in 0..size.instances.min(MAX_INSTANCES) {
             fleet.add_instance(index)?;
@@ -247,7 +247,7 @@
     }
 
     fn add_instance(&mut self, index: u64) -> eyre::Result<()> {
-        let relay = self._relays.add()?;
+        let relay = self.relays.add()?;
         let addresses = Addresses {
             store: self.store_relay.address,
             advertise: Some(relay.address),
