--- a/crates/spec/src/ledger.rs
+++ b/crates/spec/src/ledger.rs
@@ -1,7 +1,9 @@
-//! Budgets kept by a group of instances with disks: reservations by a quorum, lost disks and
-//! a change of the group.
+//! Model of the budget ledger, which a group of instances keeps on their disks.
 //!
-//! The decisions are the product's: `BudgetCheck` decides turns, `Group` and `MembershipState` who votes.
+//! A turn is admitted once a quorum of the group has recorded its reservation. The model
+//! covers concurrent turns, lost answers, lost disks and one change of the group. The code
+//! under test is that of `jayreel-ledger`: `BudgetCheck` admits turns, and `Group` and
+//! `MembershipState` determine which instances vote.
 
 use std::collections::BTreeSet;
 use std::sync::LazyLock;
@@ -12,54 +14,58 @@
 
 use crate::quota_search::Model;
 
-/// Instances: three members and one that joins.
+/// Number of instances: three initial members, and a spare that may join.
 const INSTANCES: usize = 4;
 
-/// Tokens of each turn.
+/// Tokens that each turn reserves.
 const TURN_TOKENS: u32 = 1;
 
-/// A rule that is left out, to show that the search reaches the cases that need it.
+/// A protocol rule to break, to show that the search reaches the states that need it.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Fault {
-    /// Charges are not read again when another turn is pending.
+    /// The charges are not read a second time when another turn is pending.
     NoReread,
-    /// A member whose disk was lost votes without copying.
-    NoCopy,
-    /// A member goes on answering for a version that it knows to be closed.
+    /// A member that lost its disk votes before it has copied the charges of the others.
+    VoteWithoutCopy,
+    /// A member answers for an older version of the group than the one it knows.
     OldVersionAnswered,
-    /// A member whose disk was lost takes an older version of the group for the newest.
+    /// A member that lost its disk may read the first version of the group although the
+    /// store has the second.
     StaleGroup,
-    /// A member whose disk was lost copies while a turn that it answered before is still
-    /// being decided.
+    /// A member that lost its disk copies charges while a turn that it answered before the
+    /// loss is still being decided.
     NoCopyDelay,
 }
 
-/// What a search covers.
+/// Bounds of a search.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Scope {
-    /// Turns of the program. Each is decided by an instance of its own.
+    /// Number of concurrent turns. Each is decided by its own coordinator.
     pub turns: u8,
-    /// Tokens that the program may use.
+    /// Budget of the program.
     pub budget_tokens: u64,
-    /// Disks that are lost.
-    pub wipes: u8,
-    /// Whether answers of members may be lost.
-    pub has_losses: bool,
-    /// Whether an instance joins in the place of another.
-    pub has_change: bool,
-    /// The rule that is left out.
+    /// How many times an instance may lose its disk.
+    pub disk_losses: u8,
+    /// Whether the answers of members may be lost.
+    pub answers_may_be_lost: bool,
+    /// Whether the spare may replace the first member.
+    pub group_may_change: bool,
+    /// The rule to break, if any.
     pub fault: Option<Fault>,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct Instance {
-    facts: BTreeSet<u8>,
+    /// Turns whose reservations are on this disk.
+    charged_turns: BTreeSet<u8>,
+    /// Newest version of the group that the instance knows.
     version: u64,
-    /// Newest version for which the facts were complete.
-    complete: Option<u64>,
-    standing: MembershipState,
+    /// Newest group version for which the charges on this disk were complete.
+    complete_version: Option<u64>,
+    membership: MembershipState,
 }
 
+/// Progress of the decision on a turn.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Progress {
     Reserving,
@@ -68,57 +74,61 @@
     Refused,
 }
 
-/// The instance that decides a turn.
+/// Decides one turn: collects the answers of a quorum and checks them against the budget.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-struct Decider {
+struct Coordinator {
     progress: Progress,
+    /// Version of the group that is asked.
     version: u64,
+    /// Members that answered in this phase.
     answered: BTreeSet<usize>,
-    seen: BTreeSet<u8>,
+    /// Turns with a reservation in one of the answers so far.
+    reported_turns: BTreeSet<u8>,
 }
 
-/// The whole system.
+/// State of the whole system.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct World {
     scope: Scope,
     /// Version of the group in the platform's store.
     version: u64,
     instances: Vec<Instance>,
-    deciders: Vec<Decider>,
-    wipes_left: u8,
+    coordinators: Vec<Coordinator>,
+    disk_losses_left: u8,
 }
 
-/// What can happen.
+/// A transition of the model.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The question of a turn reaches a member, and the answer arrives or is lost.
-    Ask {
-        /// The turn.
+    /// A member processes a turn's request, and its answer arrives or is lost.
+    AskMember {
+        /// The turn to decide.
         turn: u8,
-        /// The member.
+        /// The member that is asked.
         at: usize,
         /// Whether the answer is lost.
         is_lost: bool,
     },
-    /// The time for deciding a turn is over, or its instance learns the newest group. It
-    /// begins anew.
+    /// The decision on a turn starts again in the newest group, after a timeout or because
+    /// the group has changed.
     Restart(u8),
-    /// The group changes in the store.
-    Change,
-    /// An instance learns the group in the store.
-    Learn(usize),
-    /// A member copies the facts of another.
+    /// The second version of the group is written to the platform's store.
+    ChangeGroup,
+    /// An instance reads the group from the store.
+    ReadGroup(usize),
+    /// A member copies the charges of another one.
     Copy {
-        /// The member that lacks facts.
+        /// The member that lacks charges.
         to: usize,
-        /// The other.
+        /// The member from which it copies.
         from: usize,
     },
-    /// A disk is lost. The instance starts again and reads the group, or an older one.
-    Wipe {
-        /// The instance.
+    /// An instance loses its disk, starts again and reads the group from the store.
+    LoseDisk {
+        /// The instance that loses its disk.
         at: usize,
-        /// Whether it reads the first version.
+        /// Whether it reads the first version of the group although there is a second one.
+        /// Occurs only with [`Fault::StaleGroup`].
         is_stale: bool,
     },
 }
@@ -141,7 +151,8 @@
         .unwrap_or(INSTANCES)
 }
 
-/// The two versions of the group.
+/// The two versions of the group: the initial one, and the one in which the spare has
+/// replaced the first member.
 static GROUPS: LazyLock<[Group; 2]> = LazyLock::new(|| {
     let members: Vec<Member> = (0..INSTANCES - 1).map(member).collect();
     let first = Group::first(&members, 1);
@@ -150,7 +161,7 @@
     [first, second]
 });
 
-/// Digests of the turns' identifiers.
+/// Digests of the turn identifiers, by the number of the turn.
 static DIGESTS: LazyLock<Vec<u64>> = LazyLock::new(|| {
     (0..4)
         .map(|turn: u8| turn_digest(&turn.to_string()))
@@ -162,29 +173,29 @@
 }
 
 impl World {
-    /// Three members that vote, a spare, and turns that are about to be reserved.
+    /// The initial state: three voting members, a spare, and turns without reservations.
     pub fn new(scope: Scope) -> World {
         let instance = |index: usize| Instance {
-            facts: BTreeSet::new(),
+            charged_turns: BTreeSet::new(),
             version: 1,
-            complete: group(1).contains(&name(index)).then_some(1),
-            standing: match group(1).contains(&name(index)) {
+            complete_version: group(1).contains(&name(index)).then_some(1),
+            membership: match group(1).contains(&name(index)) {
                 true => MembershipState::Voting,
                 false => MembershipState::Spare,
             },
         };
-        let decider = Decider {
+        let coordinator = Coordinator {
             progress: Progress::Reserving,
             version: 1,
             answered: BTreeSet::new(),
-            seen: BTreeSet::new(),
+            reported_turns: BTreeSet::new(),
         };
         World {
             scope,
             instances: (0..INSTANCES).map(instance).collect(),
-            deciders: vec![decider; usize::from(scope.turns)],
+            coordinators: vec![coordinator; usize::from(scope.turns)],
             version: 1,
-            wipes_left: scope.wipes,
+            disk_losses_left: scope.disk_losses,
         }
     }
 
@@ -192,27 +203,29 @@
         self.scope.fault == Some(fault)
     }
 
-    fn ask(&mut self, turn: u8, at: usize, is_lost: bool) {
-        let answers_old = self.has(Fault::OldVersionAnswered);
-        let decider = &mut self.deciders[usize::from(turn)];
+    fn ask_member(&mut self, turn: u8, at: usize, is_lost: bool) {
+        let answers_old_version = self.has(Fault::OldVersionAnswered);
+        let coordinator = &mut self.coordinators[usize::from(turn)];
         let instance = &mut self.instances[at];
-        let is_known = match answers_old {
-            true => decider.version <= instance.version,
-            false => decider.version == instance.version,
+        let is_known = match answers_old_version {
+            true => coordinator.version <= instance.version,
+            false => coordinator.version == instance.version,
         };
-        if !is_known || (instance.standing == MembershipState::Spare && !answers_old) {
+        if !is_known
+            || (instance.membership == MembershipState::Spare && !answers_old_version)
+        {
             return;
         }
-        if decider.progress == Progress::Reserving {
-            instance.facts.insert(turn);
+        if coordinator.progress == Progress::Reserving {
+            instance.charged_turns.insert(turn);
         }
-        let votes = instance.standing == MembershipState::Voting || answers_old;
+        let votes = instance.membership == MembershipState::Voting || answers_old_version;
         if !votes || is_lost {
             return;
         }
-        decider.seen.extend(&instance.facts);
-        decider.answered.insert(at);
-        if decider.answered.len() >= group(decider.version).quorum() {
+        coordinator.reported_turns.extend(&instance.charged_turns);
+        coordinator.answered.insert(at);
+        if coordinator.answered.len() >= group(coordinator.version).quorum() {
             self.decide(turn);
         }
     }
@@ -220,94 +233,100 @@
     fn decide(&mut self, turn: u8) {
         let skips_reread = self.has(Fault::NoReread);
         let budget_tokens = self.scope.budget_tokens;
-        let decider = &mut self.deciders[usize::from(turn)];
-        let mut tally = BudgetCheck::new(&turn.to_string());
-        let charges: Vec<ChargeView> = decider
-            .seen
+        let coordinator = &mut self.coordinators[usize::from(turn)];
+        let mut budget_check = BudgetCheck::new(&turn.to_string());
+        let charges: Vec<ChargeView> = coordinator
+            .reported_turns
             .iter()
-            .map(|seen| ChargeView {
-                turn: DIGESTS[usize::from(*seen)],
+            .map(|other| ChargeView {
+                turn: DIGESTS[usize::from(*other)],
                 tokens: TURN_TOKENS,
                 is_settled: false,
             })
             .collect();
-        tally.add(&charges);
-        let phase = match decider.progress {
+        budget_check.add(&charges);
+        let phase = match coordinator.progress {
             Progress::Reserving if !skips_reread => Phase::Reserved,
             _ => Phase::Reread,
         };
-        decider.progress = match tally.decide(phase, budget_tokens, TURN_TOKENS) {
-            Decision::Admit => Progress::Admitted,
-            Decision::Exhausted => Progress::Refused,
-            Decision::Reread => {
-                decider.answered.clear();
-                Progress::Rereading
-            }
-        };
+        coordinator.progress =
+            match budget_check.decide(phase, budget_tokens, TURN_TOKENS) {
+                Decision::Admit => Progress::Admitted,
+                Decision::Exhausted => Progress::Refused,
+                Decision::Reread => {
+                    coordinator.answered.clear();
+                    Progress::Rereading
+                }
+            };
     }
 
-    fn learn(&mut self, at: usize, version: u64) {
-        let votes_at_once = self.has(Fault::NoCopy);
+    fn learn_group(&mut self, at: usize, version: u64) {
+        let votes_at_once = self.has(Fault::VoteWithoutCopy);
         let instance = &mut self.instances[at];
         if version <= instance.version {
             return;
         }
         instance.version = version;
-        let learned =
-            MembershipState::for_new_group(group(version), &name(at), instance.complete);
-        instance.standing = match learned {
+        let learned = MembershipState::for_new_group(
+            group(version),
+            &name(at),
+            instance.complete_version,
+        );
+        instance.membership = match learned {
             MembershipState::CatchingUp(_) if votes_at_once => MembershipState::Voting,
-            standing => standing,
+            membership => membership,
         };
-        if instance.standing == MembershipState::Voting {
-            instance.complete = Some(version);
+        if instance.membership == MembershipState::Voting {
+            instance.complete_version = Some(version);
         }
     }
 
     fn copy(&mut self, to: usize, from: usize) {
         let version = self.instances[to].version;
-        self.learn(from, version);
+        self.learn_group(from, version);
         let source = self.instances[from].clone();
         if source.version > version {
-            self.learn(to, source.version);
+            self.learn_group(to, source.version);
             return;
         }
-        let complete = source.complete;
-        if complete.is_none_or(|complete| complete + 1 < source.version) {
+        let complete_version = source.complete_version;
+        if complete_version.is_none_or(|complete| complete + 1 < source.version) {
             return;
         }
         let instance = &mut self.instances[to];
-        instance.facts.extend(&source.facts);
-        if let MembershipState::CatchingUp(progress) = &mut instance.standing {
+        instance.charged_turns.extend(&source.charged_turns);
+        if let MembershipState::CatchingUp(progress) = &mut instance.membership {
             progress.record(&name(from));
             if progress.is_complete() {
-                instance.standing = MembershipState::Voting;
-                instance.complete = Some(version);
+                instance.membership = MembershipState::Voting;
+                instance.complete_version = Some(version);
             }
         }
     }
 
-    fn wipe(&mut self, at: usize, is_stale: bool) {
-        self.wipes_left -= 1;
+    fn lose_disk(&mut self, at: usize, is_stale: bool) {
+        self.disk_losses_left -= 1;
         let read = if is_stale { 1 } else { self.version };
         let instance = &mut self.instances[at];
-        instance.facts.clear();
-        instance.complete = None;
+        instance.charged_turns.clear();
+        instance.complete_version = None;
         instance.version = 0;
-        self.learn(at, read);
+        self.learn_group(at, read);
     }
 
-    /// Members copy only after all turns that they answered before are decided or given up.
-    fn may_copy(&self, at: usize) -> bool {
-        let mut deciders = self.deciders.iter();
-        let is_free =
-            !deciders.any(|decider| decider.is_open() && decider.answered.contains(&at));
-        is_free || self.has(Fault::NoCopyDelay)
+    /// Whether a member may copy charges: only after all turns that it answered before are
+    /// decided or were restarted.
+    fn may_copy_charges(&self, at: usize) -> bool {
+        let mut coordinators = self.coordinators.iter();
+        let has_no_open_answers = !coordinators.any(|coordinator| {
+            coordinator.is_undecided() && coordinator.answered.contains(&at)
+        });
+        has_no_open_answers || self.has(Fault::NoCopyDelay)
     }
 }
 
-impl Decider {
-    fn is_open(&self) -> bool {
+impl Coordinator {
+    fn is_undecided(&self) -> bool {
         matches!(self.progress, Progress::Reserving | Progress::Rereading)
     }
 }
@@ -317,46 +336,46 @@
 
     fn events(&self) -> Vec<Event> {
         let mut events = Vec::new();
-        for (turn, decider) in self.deciders.iter().enumerate() {
+        for (turn, coordinator) in self.coordinators.iter().enumerate() {
             let turn = u8::try_from(turn).unwrap_or(u8::MAX);
-            if !decider.is_open() {
+            if !coordinator.is_undecided() {
                 continue;
             }
-            for at in group(decider.version).members.iter().map(index) {
-                if decider.answered.contains(&at) {
+            for at in group(coordinator.version).members.iter().map(index) {
+                if coordinator.answered.contains(&at) {
                     continue;
                 }
-                let ask = |is_lost| Event::Ask { turn, at, is_lost };
-                events.push(ask(false));
-                if self.scope.has_losses {
-                    events.push(ask(true));
+                let ask_member = |is_lost| Event::AskMember { turn, at, is_lost };
+                events.push(ask_member(false));
+                if self.scope.answers_may_be_lost {
+                    events.push(ask_member(true));
                 }
             }
-            if decider.version < self.version || !decider.answered.is_empty() {
+            if coordinator.version < self.version || !coordinator.answered.is_empty() {
                 events.push(Event::Restart(turn));
             }
         }
-        if self.scope.has_change && self.version == 1 {
-            events.push(Event::Change);
+        if self.scope.group_may_change && self.version == 1 {
+            events.push(Event::ChangeGroup);
         }
         for (at, instance) in self.instances.iter().enumerate() {
             if instance.version < self.version {
-                events.push(Event::Learn(at));
+                events.push(Event::ReadGroup(at));
             }
             if let (MembershipState::CatchingUp(progress), true) =
-                (&instance.standing, self.may_copy(at))
+                (&instance.membership, self.may_copy_charges(at))
             {
                 let sources = progress.missing();
                 let copy = |from| Event::Copy { to: at, from };
                 events.extend(sources.iter().map(index).map(copy));
             }
-            if self.wipes_left > 0 && instance.complete.is_some() {
-                events.push(Event::Wipe {
+            if self.disk_losses_left > 0 && instance.complete_version.is_some() {
+                events.push(Event::LoseDisk {
                     at,
                     is_stale: false,
                 });
                 if self.version > 1 && self.has(Fault::StaleGroup) {
-                    events.push(Event::Wipe { at, is_stale: true });
+                    events.push(Event::LoseDisk { at, is_stale: true });
                 }
             }
         }
@@ -366,25 +385,27 @@
     fn apply(&self, event: &Event) -> World {
         let mut next = self.clone();
         match event {
-            Event::Ask { turn, at, is_lost } => next.ask(*turn, *at, *is_lost),
+            Event::AskMember { turn, at, is_lost } => {
+                next.ask_member(*turn, *at, *is_lost)
+            }
             Event::Restart(turn) => {
-                next.deciders[usize::from(*turn)] = Decider {
+                next.coordinators[usize::from(*turn)] = Coordinator {
                     progress: Progress::Reserving,
                     version: next.version,
                     answered: BTreeSet::new(),
-                    seen: BTreeSet::new(),
+                    reported_turns: BTreeSet::new(),
                 };
             }
-            Event::Change => next.version = 2,
-            Event::Learn(at) => next.learn(*at, next.version),
+            Event::ChangeGroup => next.version = 2,
+            Event::ReadGroup(at) => next.learn_group(*at, next.version),
             Event::Copy { to, from } => next.copy(*to, *from),
-            Event::Wipe { at, is_stale } => next.wipe(*at, *is_stale),
+            Event::LoseDisk { at, is_stale } => next.lose_disk(*at, *is_stale),
         }
         next
     }
 
     fn violation(&self) -> Option<String> {
-        let admitted = self.deciders.iter();
+        let admitted = self.coordinators.iter();
         let admitted = admitted
             .filter(|d| d.progress == Progress::Admitted)
             .count();
--- a/crates/spec/src/lib.rs
+++ b/crates/spec/src/lib.rs
@@ -1,8 +1,12 @@
-//! Models of the protocols, searched exhaustively in breadth-first order.
+//! Small models of the protocols, checked by exhaustive breadth-first search.
 //!
-//! The models drive the transition functions of the product's crates. Each model can be
-//! built with a fault, for which its search must find a shortest trace; this shows that
-//! the search reaches the situations in which the guarded rule matters.
+//! The models call the same transition functions as the product; they add only the
+//! network, the store, clocks and failures. Each model can also be built with a seeded
+//! fault, which breaks one rule of the protocol. The tests require that the search then
+//! finds a violation, which shows that it reaches the states in which the rule matters.
+//!
+//! There are three search functions, each with its own form of model:
+//! [`ownership::explore`], [`quota_search::search`] and [`configuration::explore`].
 
 pub mod configuration;
 mod configuration_instance;
@@ -13,6 +17,7 @@
 pub mod home_weights_instance;
 mod home_weights_loans;
 pub mod home_weights_world;
+mod intern;
 pub mod ledger;
 pub mod ownership;
 pub mod ownership_budget;
@@ -24,4 +29,3 @@
 pub mod quota_loans_instance;
 pub mod quota_loans_world;
 pub mod quota_search;
-mod shared;
--- a/crates/spec/src/ownership.rs
+++ b/crates/spec/src/ownership.rs
@@ -1,4 +1,6 @@
-//! The search that the ownership models share.
+//! Exhaustive search for the models of program ownership and of keyed calls.
+//!
+//! The models are in the modules whose names begin with `ownership_`.
 
 use std::fmt;
 use std::hash::{Hash, Hasher};
@@ -10,58 +12,66 @@
 
 /// A transition system with a safety property.
 pub trait Model {
-    /// One state of the whole system.
+    /// State of the whole system: processes, store and messages under way.
     type State: Clone + Eq + Hash;
 
-    /// The only start.
+    /// The state in which every search begins.
     fn initial(&self) -> Self::State;
 
-    /// All steps that are possible in a state.
+    /// All steps that are possible in `state`, each with the state that follows.
     fn steps(&self, state: &Self::State) -> Vec<(Step, Self::State)>;
 
-    /// The broken property, if any.
+    /// The safety property that `state` violates, if any.
     fn violation(&self, state: &Self::State) -> Option<&'static str>;
 }
 
-/// What happened in a step, for traces.
+/// Label of a step, printed in traces.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Step {
-    /// The event.
-    pub what: &'static str,
-    /// The process or instance at which it happened.
-    pub at: usize,
-    /// The call, predecessor or other number that it concerns.
-    pub of: usize,
+    /// What happened.
+    pub event: &'static str,
+    /// Index of the process or instance at which it happened.
+    pub process: usize,
+    /// Number of the request, process or message that the step concerns, or 0.
+    pub subject: usize,
 }
 
 impl Step {
-    /// A step at one process.
-    pub fn new(what: &'static str, at: usize, of: usize) -> Step {
-        Step { what, at, of }
+    /// Labels a step at `process` that concerns `subject`.
+    pub fn new(event: &'static str, process: usize, subject: usize) -> Step {
+        Step {
+            event,
+            process,
+            subject,
+        }
     }
 }
 
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} at {} of {}", self.what, self.at, self.of)
+        write!(
+            f,
+            "{} at process {}, subject {}",
+            self.event, self.process, self.subject
+        )
     }
 }
 
-/// The result of a search.
+/// Result of a search.
 #[derive(Clone, Debug)]
-pub struct Report {
-    /// Distinct states that were expanded.
+pub struct SearchReport {
+    /// Number of distinct states whose successors were computed.
     pub states: usize,
-    /// Steps to the most distant of them.
+    /// Length of the shortest path to the most distant of these states, in steps.
     pub depth: usize,
-    /// The broken property with the shortest trace to it.
+    /// The violated property, with a shortest trace to the violation.
     pub violation: Option<(&'static str, Vec<Step>)>,
 }
 
 #[derive(Clone)]
 struct Node<S> {
     state: S,
-    /// How the state was first reached. Not part of its identity.
+    /// The step that first reached the state. Ignored when nodes are compared.
     step: Option<Step>,
     depth: usize,
 }
@@ -80,10 +90,10 @@
     }
 }
 
-/// Visits all reachable states, or stops at the first violation. Prints states, depth, time
-/// and the trace.
-pub fn explore<M: Model>(name: &str, model: &M) -> Report {
-    let started = Instant::now();
+/// Visits all states that `model` can reach, or stops at the first violation. Prints the
+/// number of states, the depth, the time and the trace under `name`.
+pub fn explore<M: Model>(name: &str, model: &M) -> SearchReport {
+    let start_time = Instant::now();
     let (mut states, mut depth) = (0, 0);
     let start = Node {
         state: model.initial(),
@@ -108,37 +118,38 @@
         |node| model.violation(&node.state).is_some(),
     );
     let violation = path.and_then(|path| {
-        let broken = path.last().and_then(|node| model.violation(&node.state))?;
+        let property = path.last().and_then(|node| model.violation(&node.state))?;
         Some((
-            broken,
+            property,
             path.iter().filter_map(|node| node.step).collect::<Vec<_>>(),
         ))
     });
-    let report = Report {
+    let report = SearchReport {
         states,
         depth,
         violation,
     };
-    print(name, &report, started.elapsed().as_millis());
+    print_report(name, &report, start_time.elapsed().as_millis());
     report
 }
 
-fn print(name: &str, report: &Report, elapsed_ms: u128) {
-    let Report {
+fn print_report(name: &str, report: &SearchReport, elapsed_ms: u128) {
+    let SearchReport {
         states,
         depth,
         violation,
     } = report;
     println!("search={name} states={states} depth={depth} elapsed_ms={elapsed_ms}");
-    if let Some((broken, trace)) = violation {
-        println!("  broken: {broken}");
+    if let Some((property, trace)) = violation {
+        println!("  violated: {property}");
         for step in trace {
             println!("  {step}");
         }
     }
 }
 
-/// The names of the processes in the models: two instances, and a restart of the first.
+/// Incarnation of process number `process`: 0 is instance `a`, 1 is instance `b`, and 2 is
+/// instance `a` after a restart.
 pub fn incarnation(process: usize) -> Incarnation {
     let (instance, number) = match process {
         0 => ("a", 1),
@@ -151,7 +162,7 @@
     }
 }
 
-/// The number of a process by its name.
+/// Number of the process with this incarnation. The inverse of [`incarnation`].
 pub fn process(incarnation: &Incarnation) -> usize {
     match (incarnation.instance.as_str(), incarnation.number) {
         ("a", 1) => 0,
@@ -160,16 +171,20 @@
     }
 }
 
-/// The takeover records in the store, by the process that is gone and with its successor.
+/// The takeover records in the store, each with the number of the process that is taken
+/// over. `successors[n]` is the process that took over from process `n`.
 pub(crate) fn takeover_records(
     successors: &[Option<usize>],
 ) -> Vec<(usize, TakeoverRecord)> {
-    let records = successors.iter().enumerate().filter_map(|(of, by)| {
-        let record = TakeoverRecord {
-            successor: incarnation((*by)?),
-            is_planned: false,
-        };
-        Some((of, record))
-    });
+    let records = successors
+        .iter()
+        .enumerate()
+        .filter_map(|(predecessor, successor)| {
+            let record = TakeoverRecord {
+                successor: incarnation((*successor)?),
+                is_planned: false,
+            };
+            Some((predecessor, record))
+        });
     records.collect()
 }
--- a/crates/spec/src/ownership_keyed.rs
+++ b/crates/spec/src/ownership_keyed.rs
@@ -20,8 +20,8 @@
 use jayreel_programs::keyed::responsible;
 use jayreel_programs::{KeyedAdmission, KeyedCalls, KeyedConfig};
 
+use crate::intern::intern;
 use crate::ownership::{Model, Step};
-use crate::shared::shared;
 
 /// A repeat within this time after a run must not run.
 pub const WINDOW_MS: u64 = 3;
@@ -196,7 +196,7 @@
             steps.push((Step::new("run", at, 0), next));
         }
         for (_, next) in &mut steps {
-            next.instances = next.instances.each_ref().map(shared);
+            next.instances = next.instances.each_ref().map(intern);
         }
         steps
     }
--- a/crates/spec/src/ownership_keyed_handover.rs
+++ b/crates/spec/src/ownership_keyed_handover.rs
@@ -24,9 +24,9 @@
 use jayreel_programs::keyed::responsible;
 use jayreel_programs::{KeyedCalls, KeyedConfig, KeyedHandover};
 
+use crate::intern::intern;
 use crate::ownership::{Model, Step};
 use crate::ownership_keyed::WINDOW_MS;
-use crate::shared::shared;
 
 const FRESHNESS_MS: u64 = 1;
 const DISPATCH_MS: u64 = 1;
@@ -255,7 +255,7 @@
             steps.push((Step::new("run", at, 0), next));
         }
         for (_, next) in &mut steps {
-            next.instances = next.instances.each_ref().map(shared);
+            next.instances = next.instances.each_ref().map(intern);
         }
         steps
     }
--- a/crates/spec/src/quota_search.rs
+++ b/crates/spec/src/quota_search.rs
@@ -1,4 +1,4 @@
-//! Exhaustive breadth-first search of a model.
+//! Exhaustive breadth-first search for the models of quotas, home weights and budgets.
 
 use std::cell::Cell;
 use std::fmt::Debug;
@@ -7,45 +7,45 @@
 
 use pathfinding::directed::bfs::bfs;
 
-/// A finite model.
+/// A state of a finite transition system with a safety property.
 pub trait Model: Clone + Eq + Hash {
-    /// What can happen.
+    /// Label of a transition, printed in traces.
     type Event: Clone + Debug;
 
-    /// The events that are possible now.
+    /// The events that are possible in this state.
     fn events(&self) -> Vec<Self::Event>;
 
-    /// The state after an event.
+    /// The state after `event`, which is one of [`Model::events`].
     fn apply(&self, event: &Self::Event) -> Self;
 
-    /// The property that this state breaks, if any.
+    /// Describes the safety property that this state violates, if any.
     fn violation(&self) -> Option<String>;
 }
 
-/// The outcome of a search.
+/// Result of a search.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// States whose successors were computed.
+    /// Number of distinct states whose successors were computed.
     pub states: usize,
-    /// Events on the longest of the shortest paths to these states.
+    /// Length of the shortest path to the most distant of these states, in events.
     pub depth: usize,
-    /// The shortest trace to a violation.
+    /// The first violation found, which has a shortest trace.
     pub violation: Option<Violation>,
 }
 
-/// A broken property.
+/// A violated property.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// What is broken.
+    /// Description of the property.
     pub property: String,
-    /// The events that lead there.
+    /// The events that lead from the start to the violation, in `Debug` format.
     pub trace: Vec<String>,
 }
 
 #[derive(Clone)]
 struct Node<M: Model> {
     model: M,
-    /// The event that led here on the path found first. Not part of the identity.
+    /// The event that first reached the state. Ignored when nodes are compared.
     event: Option<M::Event>,
     depth: usize,
 }
@@ -64,10 +64,10 @@
     }
 }
 
-/// Visits all states that can be reached from `start`, or those up to the first violation,
-/// and prints what was found under `name`.
+/// Visits all states that can be reached from `start`, or stops at the first violation.
+/// Prints the number of states, the depth, the time and the violation under `name`.
 pub fn search<M: Model>(name: &str, start: M) -> Outcome {
-    let started = Instant::now();
+    let start_time = Instant::now();
     let states = Cell::new(0);
     let depth = Cell::new(0);
     let start = Node {
@@ -90,7 +90,7 @@
         "{name}: states={} depth={} seconds={:.1} violation={:?}",
         outcome.states,
         outcome.depth,
-        started.elapsed().as_secs_f64(),
+        start_time.elapsed().as_secs_f64(),
         outcome.violation,
     );
     outcome
--- a/crates/spec/tests/ledger.rs
+++ b/crates/spec/tests/ledger.rs
@@ -1,4 +1,5 @@
-//! Budgets hold whatever is lost, and the search finds each rule that is left out.
+//! Exhaustive searches of the budget ledger: no turns are admitted beyond the budget, and
+//! each seeded fault leads to a violation.
 
 use jayreel_spec::ledger::{Fault, Scope, World};
 use jayreel_spec::quota_search::search;
@@ -7,65 +8,66 @@
 const BASE: Scope = Scope {
     turns: 3,
     budget_tokens: 2,
-    wipes: 0,
-    has_losses: true,
-    has_change: false,
+    disk_losses: 0,
+    answers_may_be_lost: true,
+    group_may_change: false,
     fault: None,
 };
-const WIPED: Scope = Scope {
+const LOST_DISK: Scope = Scope {
     turns: 2,
     budget_tokens: 1,
-    wipes: 1,
+    disk_losses: 1,
     ..BASE
 };
-const CHANGED: Scope = Scope {
+const CHANGED_GROUP: Scope = Scope {
     turns: 2,
     budget_tokens: 1,
-    has_change: true,
+    group_may_change: true,
     ..BASE
 };
-const CHANGED_AND_WIPED: Scope = Scope {
-    wipes: 1,
-    has_losses: false,
-    ..CHANGED
+const CHANGED_GROUP_AND_LOST_DISK: Scope = Scope {
+    disk_losses: 1,
+    answers_may_be_lost: false,
+    ..CHANGED_GROUP
 };
 
 #[test_case("three turns at once", BASE)]
-#[test_case("a disk is lost", WIPED)]
-#[test_case("the group changes", CHANGED)]
-#[test_case("the group changes and a disk is lost", CHANGED_AND_WIPED)]
-fn budget_holds(name: &str, scope: Scope) {
+#[test_case("a disk is lost", LOST_DISK)]
+#[test_case("the group changes", CHANGED_GROUP)]
+#[test_case("the group changes and a disk is lost", CHANGED_GROUP_AND_LOST_DISK)]
+fn budget_is_not_exceeded(name: &str, scope: Scope) {
     let outcome = search(name, World::new(scope));
     assert!(outcome.violation.is_none(), "{:?}", outcome.violation);
     assert!(outcome.states > 1_000, "{} states", outcome.states);
 }
 
-/// Takes minutes, so it is run by hand.
+/// The combination of a group change, a lost disk and lost answers. Run by hand, since it
+/// takes minutes.
 #[test]
 #[ignore = "takes minutes"]
-fn budget_holds_when_answers_are_lost_too() {
+fn budget_is_not_exceeded_with_all_failures() {
     let scope = Scope {
-        has_losses: true,
-        ..CHANGED_AND_WIPED
+        answers_may_be_lost: true,
+        ..CHANGED_GROUP_AND_LOST_DISK
     };
     let outcome = search("a change, a lost disk and lost answers", World::new(scope));
     assert!(outcome.violation.is_none(), "{:?}", outcome.violation);
 }
 
 #[test_case(BASE, Fault::NoReread)]
-#[test_case(WIPED, Fault::NoCopy)]
-#[test_case(CHANGED, Fault::OldVersionAnswered)]
-#[test_case(CHANGED_AND_WIPED, Fault::StaleGroup)]
-#[test_case(WIPED, Fault::NoCopyDelay)]
-fn rule_left_out_is_found(scope: Scope, fault: Fault) {
+#[test_case(LOST_DISK, Fault::VoteWithoutCopy)]
+#[test_case(CHANGED_GROUP, Fault::OldVersionAnswered)]
+#[test_case(CHANGED_GROUP_AND_LOST_DISK, Fault::StaleGroup)]
+#[test_case(LOST_DISK, Fault::NoCopyDelay)]
+fn seeded_fault_is_found(scope: Scope, fault: Fault) {
     let scope = Scope {
         fault: Some(fault),
         ..scope
     };
-    let outcome = search("a rule left out", World::new(scope));
+    let outcome = search("seeded fault", World::new(scope));
     assert!(
         outcome.violation.is_some(),
-        "{fault:?} in {} states",
+        "{fault:?} not found in {} states",
         outcome.states
     );
 }
