--- a/crates/spec/src/configuration.rs
+++ b/crates/spec/src/configuration.rs
@@ -1,9 +1,13 @@
-//! Model of configuration acceptance: two operators, the store, and instances.
+//! Model of configuration changes: two operators, the store, and the instances that follow
+//! the configuration.
 //!
-//! The model runs the transactions, the keyspace and the instance state of
-//! `jayreel-store` itself; it adds only the order of steps and the faults. Bounded are
-//! the number of edits, lost messages, outages, silent watches, restarts and lease ends
-//! of a [`Scenario`]. Not modelled are several store members and compaction.
+//! It checks that an operator is told correctly whether a change was accepted, also when
+//! the answer of the store is lost, and that instances never go back to an older
+//! configuration. The transactions, the keyspace and the configuration feed of an instance
+//! are those of `jayreel-store`; the model adds the order of steps and the failures.
+//!
+//! A [`Scenario`] bounds the number of edits, lost messages, outages, silent watches,
+//! restarts and expired leases. A store of several members and compaction are not modelled.
 
 use std::fmt;
 use std::hash::{Hash, Hasher};
@@ -20,89 +24,95 @@
 
 pub use crate::configuration_operator::Edit;
 
-/// Name of the profile that operators change.
+/// Name of the profile that the operators change.
 pub(crate) const PROFILE: &str = "standard";
 
-/// A rule that is left out on purpose, to show that the search finds the violation.
+/// A protocol rule to break, to show that the search finds the resulting violation.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum SeededFault {
-    /// After a lost answer, the same value at a newer version counts as accepted.
+    /// After a lost answer, the operator takes its own value at a newer version for proof
+    /// that the change was accepted.
     CompareValues,
-    /// After a lost answer, an unchanged version counts as not accepted.
+    /// After a lost answer, the operator takes an unchanged version for proof that the
+    /// change was not accepted, although the request may still arrive.
     NoCancellation,
-    /// Records are written without a check of their version.
+    /// Records are written without a condition on their version.
     NoVersionCheck,
-    /// Instances apply every copy that they are given.
+    /// Instances apply every configuration that they receive, also one with a lower revision.
     ApplyLowerRevision,
-    /// Instances forget withdrawals that a copy does not contain.
+    /// Instances forget a withdrawal when they apply a configuration that lacks it.
     ForgetWithdrawals,
 }
 
-/// How often each fault may occur.
+/// How many times each kind of failure may occur.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
-pub struct Bounds {
-    /// Requests that are delayed without end, and answers that are lost.
-    pub losses: u8,
+pub struct FailureBounds {
+    /// Requests whose connection breaks before they arrive, and answers that are lost.
+    pub lost_messages: u8,
     /// Outages of the store.
     pub outages: u8,
-    /// Watches that go silent.
-    pub silences: u8,
+    /// Watches that stop delivering changes without an error.
+    pub silent_watches: u8,
     /// Restarts of instances.
     pub restarts: u8,
-    /// Leases of reported changes that end.
+    /// Leases that expire after the outcome of their change was reported.
     pub lease_ends: u8,
 }
 
-/// What is explored.
+/// What a search covers.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The edits of each operator, in order.
+    /// The edits of each operator, in the order in which it makes them.
     pub scripts: [Vec<Edit>; 2],
     /// Number of instances.
     pub instances: usize,
-    /// How often each fault may occur.
-    pub bounds: Bounds,
-    /// A rule to leave out.
+    /// How many times each kind of failure may occur.
+    pub failure_bounds: FailureBounds,
+    /// The rule to break, if any.
     pub fault: Option<SeededFault>,
 }
 
-/// A property that a state violates.
+/// A violation of a safety property.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Violation {
-    /// Two changes of one version of a record were both reported accepted.
+    /// Two changes based on the same version of a record were both reported as accepted.
     BothAccepted,
-    /// A change was reported not accepted, and was made.
+    /// A change was reported as not accepted, but the store applied it.
     FalseNotAccepted,
-    /// A change was reported accepted, and was not made.
+    /// A change was reported as accepted, but the store did not apply it.
     FalseAccepted,
-    /// An instance went to a lower revision.
+    /// An instance replaced its configuration by one with a lower revision.
     LowerRevision,
-    /// A withdrawn key is valid.
+    /// A key became valid again after it was withdrawn, in the store or at an instance that
+    /// knew of the withdrawal.
     WithdrawnKeyValid,
 }
 
-/// One state of the model. `step` and `depth` tell how it was first reached; they do not
-/// count for equality.
+/// State of the whole system. `step` and `depth` tell how it was first reached and are
+/// ignored when states are compared.
 #[derive(Clone)]
 pub(crate) struct World {
+    /// Label of the step that led here.
     pub(crate) step: String,
     depth: u32,
     pub(crate) store: Arc<Keyspace>,
-    pub(crate) is_up: bool,
-    pub(crate) left: Bounds,
+    pub(crate) store_is_up: bool,
+    /// How many more times each kind of failure may occur.
+    pub(crate) failures_left: FailureBounds,
     pub(crate) operators: [Operator; 2],
+    /// Delayed requests that may still arrive.
     pub(crate) messages: Vec<Message>,
     pub(crate) instances: Vec<Instance>,
-    /// What the store holds of the key: nothing, or whether it is withdrawn.
+    /// Whether the stored key is withdrawn; `None` if the store has no key. Cached.
     key_is_withdrawn: Option<bool>,
-    /// Whether the store ever held the key as withdrawn.
+    /// Whether the key was withdrawn in the store at any time.
     was_withdrawn: bool,
 }
 
 impl PartialEq for World {
     fn eq(&self, other: &World) -> bool {
-        self.is_up == other.is_up
-            && self.left == other.left
+        self.store_is_up == other.store_is_up
+            && self.failures_left == other.failures_left
             && self.operators == other.operators
             && self.messages == other.messages
             && self.was_withdrawn == other.was_withdrawn
@@ -113,10 +123,11 @@
 
 impl Eq for World {}
 
+/// Hashes only the revision of the store, since the whole keyspace is slow to hash.
 impl Hash for World {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        self.is_up.hash(hasher);
-        self.left.hash(hasher);
+        self.store_is_up.hash(hasher);
+        self.failures_left.hash(hasher);
         self.operators.hash(hasher);
         self.messages.hash(hasher);
         self.was_withdrawn.hash(hasher);
@@ -133,8 +144,8 @@
     }
 }
 
-/// The key that operators give and withdraw.
-pub(crate) fn the_key() -> KeyHash {
+/// The customer key that the operators create and withdraw.
+pub(crate) fn customer_key() -> KeyHash {
     KeyHash([7; 32])
 }
 
@@ -156,8 +167,8 @@
             step: "start".into(),
             depth: 0,
             store: Arc::new(store),
-            is_up: true,
-            left: scenario.bounds,
+            store_is_up: true,
+            failures_left: scenario.failure_bounds,
             operators,
             messages: Vec::new(),
             instances: vec![Instance::default(); scenario.instances],
@@ -166,7 +177,7 @@
         }
     }
 
-    /// A copy of the state that follows by `step`.
+    /// A copy of this state, labelled as the result of `step`.
     pub(crate) fn next(&self, step: impl Into<String>) -> World {
         let mut next = self.clone();
         next.step = step.into();
@@ -174,7 +185,7 @@
         next
     }
 
-    /// Applies a transaction at the store. False if it was refused.
+    /// Applies a transaction at the store. Returns false if one of its conditions failed.
     pub(crate) fn commit(&mut self, transaction: &Transaction) -> bool {
         let store = Arc::make_mut(&mut self.store);
         let committed = store
@@ -188,7 +199,7 @@
     }
 
     fn stored_key_is_withdrawn(&self) -> Option<bool> {
-        let key = record_key::<CustomerKey>(&the_key().to_string());
+        let key = record_key::<CustomerKey>(&customer_key().to_string());
         let entry = self.store.get(&key)?;
         let record: CustomerKey = serde_json::from_slice(&entry.value).ok()?;
         Some(record.withdrawn)
@@ -196,15 +207,15 @@
 
     fn store_steps(&self) -> Vec<World> {
         let mut steps = Vec::new();
-        if self.is_up && self.left.outages > 0 {
-            let mut next = self.next("store goes down");
-            next.left.outages -= 1;
-            next.is_up = false;
+        if self.store_is_up && self.failures_left.outages > 0 {
+            let mut next = self.next("store outage begins");
+            next.failures_left.outages -= 1;
+            next.store_is_up = false;
             steps.push(next);
         }
-        if !self.is_up {
-            let mut next = self.next("store comes back");
-            next.is_up = true;
+        if !self.store_is_up {
+            let mut next = self.next("store outage ends");
+            next.store_is_up = true;
             steps.push(next);
         }
         steps
@@ -221,7 +232,7 @@
         }
         steps
             .iter_mut()
-            .for_each(|next| next.instances.sort_by_key(Instance::order));
+            .for_each(|next| next.instances.sort_by_key(Instance::sort_key));
         steps
     }
 
@@ -232,42 +243,43 @@
                 .flat_map(|operator| &operator.attempts)
         };
         let accepted = || attempts().filter(|a| a.report == Some(Report::Accepted));
-        let same_base = accepted().any(|one| {
+        let is_double_acceptance = accepted().any(|one| {
             accepted().any(|other| {
                 one.id != other.id
                     && one.edit.is_of_profile() == other.edit.is_of_profile()
                     && one.base == other.base
             })
         });
-        let false_refusal =
-            attempts().any(|a| a.report == Some(Report::NotAccepted) && a.applied);
-        let valid_again = self.was_withdrawn && self.key_is_withdrawn == Some(false)
+        let is_false_refusal =
+            attempts().any(|a| a.report == Some(Report::NotAccepted) && a.was_applied);
+        let is_valid_again = self.was_withdrawn && self.key_is_withdrawn == Some(false)
             || self.instances.iter().any(Instance::has_valid_withdrawn_key);
         match () {
-            _ if same_base => Some(Violation::BothAccepted),
-            _ if false_refusal => Some(Violation::FalseNotAccepted),
-            _ if accepted().any(|a| !a.applied) => Some(Violation::FalseAccepted),
-            _ if self.instances.iter().any(Instance::went_back) => {
+            _ if is_double_acceptance => Some(Violation::BothAccepted),
+            _ if is_false_refusal => Some(Violation::FalseNotAccepted),
+            _ if accepted().any(|a| !a.was_applied) => Some(Violation::FalseAccepted),
+            _ if self.instances.iter().any(Instance::has_lowered_revision) => {
                 Some(Violation::LowerRevision)
             }
-            _ if valid_again => Some(Violation::WithdrawnKeyValid),
+            _ if is_valid_again => Some(Violation::WithdrawnKeyValid),
             _ => None,
         }
     }
 }
 
-/// The result of a search.
+/// Result of a search.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// States whose successors were computed.
+    /// Number of distinct states whose successors were computed.
     pub states: usize,
-    /// Longest shortest path from the start to one of them, in steps.
+    /// Length of the shortest path to the most distant of these states, in steps.
     pub depth: u32,
-    /// A shortest path to a violation, if there is one.
+    /// The violation that was found, if any, with a shortest trace to it. The first entry of
+    /// the trace stands for the initial state.
     pub trace: Option<(Violation, Vec<String>)>,
 }
 
-/// Explores all states of a scenario, or up to the first violation.
+/// Visits all states that `scenario` can reach, or stops at the first violation.
 pub fn explore(scenario: &Scenario) -> Outcome {
     let start = World::start(scenario);
     let (mut states, mut depth) = (0, 0);
--- a/crates/spec/src/configuration_instance.rs
+++ b/crates/spec/src/configuration_instance.rs
@@ -1,4 +1,5 @@
-//! Instances of the configuration model: watch, poll, restart and peer snapshots.
+//! Instances of the configuration model. They follow the configuration with a watch and a
+//! poll, receive snapshots from peers, are told of withdrawals, and restart.
 
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
@@ -8,65 +9,76 @@
 use jayreel_store::configuration::FeedState;
 use jayreel_store::configuration::layout::configuration_of;
 
-use crate::configuration::{SeededFault, World, the_key};
+use crate::configuration::{SeededFault, World, customer_key};
 
+/// How an instance follows the configuration in the store.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub(crate) enum Following {
-    /// Has no watch.
+pub(crate) enum WatchState {
+    /// There is no watch.
     #[default]
     Closed,
-    /// Has read the head of the store and not yet the configuration.
-    Opening { head: u64 },
-    /// Watches from this revision on.
-    Watching { from: u64 },
-    /// Has a watch that went silent.
+    /// The instance has read the current revision of the store, but not the configuration.
+    ReadingConfiguration {
+        /// The revision of the store at that time.
+        head: u64,
+    },
+    /// A watch is open.
+    Watching {
+        /// The next change that the watch delivers has this revision or a higher one.
+        from: u64,
+    },
+    /// A watch is open but no longer delivers changes.
     Silent,
 }
 
-/// One instance. What it saw since its start is recorded to check the properties.
+/// One instance. `highest_revision` and `saw_withdrawn` exist only to check the properties.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Instance {
     feed: FeedState,
-    following: Following,
-    /// A snapshot from a peer that is on its way.
+    watch_state: WatchState,
+    /// A configuration that a peer has sent and that has not arrived.
     snapshot: Option<Arc<Configuration>>,
-    highest: u64,
+    /// Highest revision since the start of the instance.
+    highest_revision: u64,
+    /// Whether the key was withdrawn here at any time since the start of the instance.
     saw_withdrawn: bool,
 }
 
+/// Hashes only the revision of each configuration, which is slow to hash as a whole.
 impl Hash for Instance {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         self.feed.revision().hash(hasher);
-        self.following.hash(hasher);
+        self.watch_state.hash(hasher);
         self.snapshot
             .as_ref()
             .map(|copy| copy.revision)
             .hash(hasher);
-        self.highest.hash(hasher);
+        self.highest_revision.hash(hasher);
         self.saw_withdrawn.hash(hasher);
     }
 }
 
-/// See [`Instance::order`].
-type Order = (Option<u64>, Following, Option<u64>, u64, bool);
+/// See [`Instance::sort_key`].
+type SortKey = (Option<u64>, WatchState, Option<u64>, u64, bool);
 
 impl Instance {
-    /// Instances are interchangeable, so states that differ by their order are one. The
-    /// names of instances in traces are places in this order.
-    pub(crate) fn order(&self) -> Order {
+    /// Key by which the instances of a state are sorted. Instances are interchangeable, so
+    /// states that differ only in their order are merged. The numbers of instances in traces
+    /// are positions in this order.
+    pub(crate) fn sort_key(&self) -> SortKey {
         let snapshot = self.snapshot.as_ref().map(|copy| copy.revision);
         let revision = self.feed.revision();
         (
             revision,
-            self.following,
+            self.watch_state,
             snapshot,
-            self.highest,
+            self.highest_revision,
             self.saw_withdrawn,
         )
     }
 
-    pub(crate) fn went_back(&self) -> bool {
-        self.feed.revision().unwrap_or(0) < self.highest
+    pub(crate) fn has_lowered_revision(&self) -> bool {
+        self.feed.revision().unwrap_or(0) < self.highest_revision
     }
 
     pub(crate) fn has_valid_withdrawn_key(&self) -> bool {
@@ -74,10 +86,12 @@
     }
 
     fn key_is_withdrawn(&self) -> Option<bool> {
-        let key = self.feed.current()?.keys.get(&the_key())?;
+        let key = self.feed.current()?.keys.get(&customer_key())?;
         Some(key.withdrawn)
     }
 
+    /// Offers a received configuration to the feed, which ignores old ones unless a rule is
+    /// broken.
     fn offer(&mut self, copy: Configuration, fault: Option<SeededFault>) {
         match fault {
             Some(SeededFault::ApplyLowerRevision) => self.replace(copy),
@@ -88,7 +102,7 @@
             }
             _ => drop(self.feed.offer(copy)),
         }
-        self.observe();
+        self.record_observations();
     }
 
     fn replace(&mut self, copy: Configuration) {
@@ -96,8 +110,9 @@
         self.feed.offer(copy);
     }
 
-    fn observe(&mut self) {
-        self.highest = self.highest.max(self.feed.revision().unwrap_or(0));
+    fn record_observations(&mut self) {
+        self.highest_revision =
+            self.highest_revision.max(self.feed.revision().unwrap_or(0));
         self.saw_withdrawn |= self.key_is_withdrawn() == Some(true);
     }
 }
@@ -108,35 +123,35 @@
         index: usize,
         fault: Option<SeededFault>,
     ) -> Vec<World> {
-        let mut steps = match self.instances[index].following {
-            Following::Closed => self.read_head(index),
-            Following::Opening { head } => self.open(index, head, fault),
-            Following::Watching { from } => self.watch(index, from),
-            Following::Silent => self.poll(index),
+        let mut steps = match self.instances[index].watch_state {
+            WatchState::Closed => self.read_head(index),
+            WatchState::ReadingConfiguration { head } => self.open(index, head, fault),
+            WatchState::Watching { from } => self.watch(index, from),
+            WatchState::Silent => self.poll(index),
         };
         steps.extend(self.restart(index));
-        steps.extend(self.snapshots(index, fault));
+        steps.extend(self.snapshot_steps(index, fault));
         steps.extend(self.direct_withdrawal(index));
         steps
     }
 
     fn read_head(&self, index: usize) -> Vec<World> {
-        if !self.is_up {
+        if !self.store_is_up {
             return Vec::new();
         }
-        let mut next = self.next(format!("instance {index} reads the head"));
+        let mut next = self.next(format!("instance {index} reads the store's revision"));
         let head = self.store.revision();
-        next.instances[index].following = Following::Opening { head };
+        next.instances[index].watch_state = WatchState::ReadingConfiguration { head };
         vec![next]
     }
 
-    /// Reads the configuration if it is newer, and opens the watch.
+    /// Reads the configuration if the store has a newer one, and opens a watch.
     fn open(&self, index: usize, head: u64, fault: Option<SeededFault>) -> Vec<World> {
-        let mut next = self.next(format!("instance {index} reads and watches"));
+        let mut next = self.next(format!("instance {index} opens a watch"));
         let instance = &mut next.instances[index];
-        if !self.is_up {
-            next.step = format!("instance {index} does not reach the store");
-            instance.following = Following::Closed;
+        if !self.store_is_up {
+            next.step = format!("instance {index} cannot reach the store");
+            instance.watch_state = WatchState::Closed;
             return vec![next];
         }
         let mut from = head + 1;
@@ -146,59 +161,60 @@
             from = range.revision + 1;
             instance.offer(configuration_of(&range), fault);
         }
-        instance.following = Following::Watching { from };
+        instance.watch_state = WatchState::Watching { from };
         vec![next]
     }
 
+    /// The watch delivers changes, goes silent, or breaks because the store is down.
     fn watch(&self, index: usize, from: u64) -> Vec<World> {
         let mut steps = Vec::new();
         let changes = self.store.changes(CONFIG_PREFIX, from).unwrap_or_default();
-        if self.is_up && !changes.is_empty() {
+        if self.store_is_up && !changes.is_empty() {
             let mut next = self.next(format!("watch of instance {index} delivers"));
             let instance = &mut next.instances[index];
             instance.feed.apply(&changes);
-            instance.observe();
+            instance.record_observations();
             let from = self.store.revision() + 1;
-            instance.following = Following::Watching { from };
+            instance.watch_state = WatchState::Watching { from };
             steps.push(next);
         }
-        if self.left.silences > 0 {
+        if self.failures_left.silent_watches > 0 {
             let mut next = self.next(format!("watch of instance {index} goes silent"));
-            next.left.silences -= 1;
-            next.instances[index].following = Following::Silent;
+            next.failures_left.silent_watches -= 1;
+            next.instances[index].watch_state = WatchState::Silent;
             steps.push(next);
         }
-        if !self.is_up {
+        if !self.store_is_up {
             let mut next = self.next(format!("watch of instance {index} breaks"));
-            next.instances[index].following = Following::Closed;
+            next.instances[index].watch_state = WatchState::Closed;
             steps.push(next);
         }
         steps
     }
 
-    /// A poll finds that the watch hides changes.
+    /// A poll finds a change that the silent watch did not deliver, and closes the watch.
     fn poll(&self, index: usize) -> Vec<World> {
         let newest = self.store.newest_revision(CONFIG_PREFIX);
-        if !self.is_up || !self.instances[index].feed.is_behind(newest) {
+        if !self.store_is_up || !self.instances[index].feed.is_behind(newest) {
             return Vec::new();
         }
         let mut next = self.next(format!("instance {index} polls"));
-        next.instances[index].following = Following::Closed;
+        next.instances[index].watch_state = WatchState::Closed;
         vec![next]
     }
 
     fn restart(&self, index: usize) -> Option<World> {
-        if self.left.restarts == 0 {
+        if self.failures_left.restarts == 0 {
             return None;
         }
         let mut next = self.next(format!("instance {index} restarts"));
-        next.left.restarts -= 1;
+        next.failures_left.restarts -= 1;
         next.instances[index] = Instance::default();
         Some(next)
     }
 
-    /// A peer sends its copy, which arrives at any later time.
-    fn snapshots(&self, index: usize, fault: Option<SeededFault>) -> Vec<World> {
+    /// A peer sends its configuration, which arrives at any later time.
+    fn snapshot_steps(&self, index: usize, fault: Option<SeededFault>) -> Vec<World> {
         let mut steps = Vec::new();
         let instance = &self.instances[index];
         if let Some(copy) = &instance.snapshot {
@@ -212,27 +228,28 @@
             .filter(|(peer, _)| *peer != index && instance.snapshot.is_none())
             .filter_map(|(_, peer)| peer.feed.current());
         for copy in copies {
-            let mut next = self.next(format!("a peer sends instance {index} its copy"));
+            let mut next =
+                self.next(format!("a peer sends instance {index} its configuration"));
             next.instances[index].snapshot = Some(Arc::clone(copy));
             steps.push(next);
         }
         steps
     }
 
-    /// A withdrawal reaches the instance ahead of the store.
+    /// The instance is told of a withdrawal directly, possibly before the store applies it.
     fn direct_withdrawal(&self, index: usize) -> Option<World> {
-        let asked = self
+        let is_requested = self
             .operators
             .iter()
-            .any(|operator| operator.is_withdrawing());
+            .any(|operator| operator.has_requested_withdrawal());
         let instance = &self.instances[index];
-        let valid = instance.key_is_withdrawn() == Some(false);
-        if !asked || !valid {
+        let is_valid = instance.key_is_withdrawn() == Some(false);
+        if !is_requested || !is_valid {
             return None;
         }
         let mut next = self.next(format!("instance {index} is told of the withdrawal"));
-        next.instances[index].feed.withdraw(the_key());
-        next.instances[index].observe();
+        next.instances[index].feed.withdraw(customer_key());
+        next.instances[index].record_observations();
         Some(next)
     }
 }
--- a/crates/spec/src/configuration_operator.rs
+++ b/crates/spec/src/configuration_operator.rs
@@ -1,4 +1,4 @@
-//! Operators of the configuration model, and their requests on the network.
+//! Operators of the configuration model: the edits that they make, and their requests.
 
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
@@ -9,38 +9,38 @@
 use jayreel_store::configuration::layout::{ConfigRecord, record_key};
 use jayreel_store::{Keyspace, LeaseId, Transaction};
 
-use crate::configuration::{PROFILE, SeededFault, World, key_record, the_key};
+use crate::configuration::{PROFILE, SeededFault, World, customer_key, key_record};
 
-/// How often an operator tries to learn the outcome of a change.
+/// How many times an operator tries to find out whether a change was accepted.
 const RESOLVE_TRIES: u8 = 2;
 
-/// One change that an operator wants.
+/// A change that an operator makes.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Edit {
-    /// Sets `max_turns` of the profile, on the version that the operator read.
+    /// Sets `max_turns` of the profile, based on the version that the operator has read.
     ChangeProfile(u32),
-    /// Creates the key.
-    GiveKey,
-    /// Withdraws the key.
+    /// Creates the customer key.
+    CreateKey,
+    /// Withdraws the customer key.
     WithdrawKey,
 }
 
 impl Edit {
-    /// Whether the record is the profile, else it is the key.
+    /// Whether the edit changes the profile; otherwise it changes the customer key.
     pub(crate) fn is_of_profile(self) -> bool {
         matches!(self, Edit::ChangeProfile(_))
     }
 
-    /// The store key of the record.
+    /// Store key of the record that the edit changes.
     pub(crate) fn record(self) -> String {
         match self {
             Edit::ChangeProfile(_) => record_key::<Profile>(PROFILE),
-            _ => record_key::<CustomerKey>(&the_key().to_string()),
+            _ => record_key::<CustomerKey>(&customer_key().to_string()),
         }
     }
 
     fn transaction(self, version: u64, fault: Option<SeededFault>) -> Transaction {
-        let key = the_key().to_string();
+        let key = customer_key().to_string();
         match self {
             Edit::ChangeProfile(max_turns) => {
                 let profile = Profile {
@@ -49,7 +49,7 @@
                 };
                 replace(PROFILE, &profile, version, fault)
             }
-            Edit::GiveKey => replace(&key, &key_record(false), version, fault),
+            Edit::CreateKey => replace(&key, &key_record(false), version, fault),
             Edit::WithdrawKey => replace(&key, &key_record(true), version, fault),
         }
     }
@@ -69,7 +69,7 @@
     transaction
 }
 
-/// What an operator is told.
+/// Outcome of a change as the operator is told it.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub(crate) enum Report {
     Accepted,
@@ -77,29 +77,34 @@
     Unknown,
 }
 
-/// One change under way or reported.
+/// A change that is under way, or whose outcome was reported.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct Attempt {
     pub(crate) edit: Edit,
-    /// The version on which the change is based.
+    /// Version of the record on which the change is based. 0 if the change creates it.
     pub(crate) base: u64,
     pub(crate) id: EditId,
     pub(crate) lease: LeaseId,
     pub(crate) lease_ended: bool,
-    /// Whether the store made the change. Not known to the operator.
-    pub(crate) applied: bool,
+    /// Whether the store applied the change. Not known to the operator.
+    pub(crate) was_applied: bool,
     pub(crate) report: Option<Report>,
 }
 
+/// What an operator does next.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Phase {
+    /// Begins the next edit of its script.
     Idle,
+    /// Sends the change.
     Ready,
-    Resolving { tries: u8 },
+    /// Finds out whether a change without an answer was accepted.
+    Resolving { tries_left: u8 },
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct Operator {
+    /// The edits that are still to be made, each with the lease of its marker.
     script: Vec<(Edit, LeaseId)>,
     pub(crate) attempts: Vec<Attempt>,
     phase: Phase,
@@ -109,11 +114,14 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Message {
     pub(crate) operator: usize,
+    /// Index in the attempts of the operator.
     pub(crate) attempt: usize,
+    /// Whether the request makes the change; otherwise it cancels it.
     pub(crate) is_change: bool,
     pub(crate) transaction: Arc<Transaction>,
 }
 
+/// Leaves out the transaction.
 impl Hash for Message {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         (self.operator, self.attempt, self.is_change).hash(hasher);
@@ -121,8 +129,8 @@
 }
 
 impl Operator {
-    /// Leases are granted in advance, so that states do not differ by the order in which
-    /// operators begin.
+    /// Grants the leases of all edits in advance, so that states do not differ by the order
+    /// in which the operators begin.
     pub(crate) fn new(edits: &[Edit], store: &mut Keyspace) -> Operator {
         let script = edits.iter().map(|edit| {
             let lease = store.grant_lease(change::MARKER_TTL_S, 0);
@@ -135,27 +143,27 @@
         }
     }
 
-    /// Whether the operator has asked for the withdrawal of the key.
-    pub(crate) fn is_withdrawing(&self) -> bool {
+    /// Whether the operator has begun to withdraw the key.
+    pub(crate) fn has_requested_withdrawal(&self) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.edit == Edit::WithdrawKey)
     }
 
-    pub(crate) fn last(&mut self) -> &mut Attempt {
+    pub(crate) fn last_attempt(&mut self) -> &mut Attempt {
         self.attempts.last_mut().expect("an attempt is under way")
     }
 
     pub(crate) fn report(&mut self, report: Report) {
-        self.last().report = Some(report);
+        self.last_attempt().report = Some(report);
         self.phase = Phase::Idle;
     }
 
-    /// Goes on after a try without an answer.
-    pub(crate) fn tried(&mut self, tries: u8) {
-        match tries {
+    /// Continues after a try without an answer. With no tries left, the outcome is unknown.
+    pub(crate) fn after_unanswered_try(&mut self, tries_left: u8) {
+        match tries_left {
             0 => self.report(Report::Unknown),
-            tries => self.phase = Phase::Resolving { tries },
+            tries_left => self.phase = Phase::Resolving { tries_left },
         }
     }
 }
@@ -168,19 +176,19 @@
     ) -> Vec<World> {
         let operator = &self.operators[index];
         let mut steps = match operator.phase {
-            Phase::Idle => self.begin(index),
-            Phase::Ready => self.send(index, fault),
-            Phase::Resolving { tries } => self.resolve(index, tries, fault),
+            Phase::Idle => self.begin_edit(index),
+            Phase::Ready => self.send_change(index, fault),
+            Phase::Resolving { tries_left } => self.resolve(index, tries_left, fault),
         };
         steps.extend(self.end_leases(index));
         steps
     }
 
-    /// Reads the record.
-    fn begin(&self, index: usize) -> Vec<World> {
+    /// Begins the next edit by reading its record.
+    fn begin_edit(&self, index: usize) -> Vec<World> {
         let operator = &self.operators[index];
         let next_edit = operator.script.first().copied();
-        let Some((edit, lease)) = next_edit.filter(|_| self.is_up) else {
+        let Some((edit, lease)) = next_edit.filter(|_| self.store_is_up) else {
             return Vec::new();
         };
         let mut next = self.next(format!("operator {index} reads for {edit:?}"));
@@ -190,11 +198,11 @@
         operator.script.remove(0);
         operator.attempts.push(Attempt {
             edit,
-            base: if edit == Edit::GiveKey { 0 } else { base },
+            base: if edit == Edit::CreateKey { 0 } else { base },
             id: EditId(format!("{index}-{}", operator.attempts.len())),
             lease,
             lease_ended: false,
-            applied: false,
+            was_applied: false,
             report: None,
         });
         operator.phase = Phase::Ready;
@@ -204,28 +212,34 @@
         vec![next]
     }
 
-    pub(crate) fn change_of(
+    /// The transaction of the current edit, with the marker that tells its outcome.
+    pub(crate) fn marked_change(
         &self,
         index: usize,
         fault: Option<SeededFault>,
     ) -> Transaction {
-        let attempt = &self.operators[index].attempts.last().expect("under way");
+        let attempt = &self.operators[index]
+            .attempts
+            .last()
+            .expect("an attempt is under way");
         let change = attempt.edit.transaction(attempt.base, fault);
         change::marked(change, &attempt.id, attempt.lease)
     }
 
-    fn send(&self, index: usize, fault: Option<SeededFault>) -> Vec<World> {
-        let change = self.change_of(index, fault);
+    /// Sends the change. The store may be down, the answer may be lost, or the request delayed.
+    fn send_change(&self, index: usize, fault: Option<SeededFault>) -> Vec<World> {
+        let change = self.marked_change(index, fault);
         let mut steps = Vec::new();
-        if !self.is_up {
-            let mut next = self.next(format!("operator {index} is refused"));
+        if !self.store_is_up {
+            let mut next = self.next(format!("operator {index} cannot reach the store"));
             next.operators[index].report(Report::NotAccepted);
             steps.push(next);
         }
-        if self.is_up {
-            let mut next = self.next(format!("operator {index} changes, answered"));
+        if self.store_is_up {
+            let mut next =
+                self.next(format!("operator {index} sends its change, answer arrives"));
             let made = next.commit(&change);
-            next.operators[index].last().applied = made;
+            next.operators[index].last_attempt().was_applied = made;
             let report = if made {
                 Report::Accepted
             } else {
@@ -234,39 +248,40 @@
             next.operators[index].report(report);
             steps.push(next);
         }
-        if self.is_up && self.left.losses > 0 {
-            let mut next = self.next(format!("operator {index} changes, answer lost"));
-            next.left.losses -= 1;
+        if self.store_is_up && self.failures_left.lost_messages > 0 {
+            let mut next =
+                self.next(format!("operator {index} sends its change, answer lost"));
+            next.failures_left.lost_messages -= 1;
             let made = next.commit(&change);
-            next.operators[index].last().applied = made;
-            next.operators[index].tried(RESOLVE_TRIES);
+            next.operators[index].last_attempt().was_applied = made;
+            next.operators[index].after_unanswered_try(RESOLVE_TRIES);
             steps.push(next);
         }
-        steps.extend(self.delay(index, true, change, RESOLVE_TRIES));
+        steps.extend(self.delay_request(index, true, change, RESOLVE_TRIES));
         steps
     }
 
-    /// The connection breaks while the request is on its way.
-    pub(crate) fn delay(
+    /// The connection breaks before the request has arrived. It may still arrive later.
+    pub(crate) fn delay_request(
         &self,
         index: usize,
         is_change: bool,
         transaction: Transaction,
-        tries: u8,
+        tries_left: u8,
     ) -> Option<World> {
-        if self.left.losses == 0 {
+        if self.failures_left.lost_messages == 0 {
             return None;
         }
-        let what = if is_change { "change" } else { "cancellation" };
-        let mut next = self.next(format!("{what} of operator {index} is delayed"));
-        next.left.losses -= 1;
+        let kind = if is_change { "change" } else { "cancellation" };
+        let mut next = self.next(format!("{kind} of operator {index} is delayed"));
+        next.failures_left.lost_messages -= 1;
         next.messages.push(Message {
             operator: index,
             attempt: next.operators[index].attempts.len() - 1,
             is_change,
             transaction: Arc::new(transaction),
         });
-        next.operators[index].tried(tries);
+        next.operators[index].after_unanswered_try(tries_left);
         Some(next)
     }
 }
--- a/crates/spec/src/configuration_resolve.rs
+++ b/crates/spec/src/configuration_resolve.rs
@@ -1,4 +1,5 @@
-//! How operators of the configuration model learn outcomes, and late requests.
+//! How the operators of the configuration model find out whether a change without an answer
+//! was accepted, and the arrival of delayed requests.
 
 use std::sync::Arc;
 
@@ -10,23 +11,26 @@
 use crate::configuration_operator::Report;
 
 impl World {
-    /// One try to learn the outcome after a lost answer.
+    /// Tries once to find out whether a change without an answer was accepted: cancels it,
+    /// or reads its marker if it cannot be cancelled any more.
     pub(crate) fn resolve(
         &self,
         index: usize,
-        tries: u8,
+        tries_left: u8,
         fault: Option<SeededFault>,
     ) -> Vec<World> {
-        let attempt = &self.operators[index].attempts.last().expect("under way");
+        let attempt = &self.operators[index]
+            .attempts
+            .last()
+            .expect("an attempt is under way");
         let cancel = change::cancel(&attempt.id, attempt.lease);
-        if !self.is_up {
-            let mut next =
-                self.next(format!("operator {index} does not reach the store"));
-            next.operators[index].tried(tries - 1);
+        if !self.store_is_up {
+            let mut next = self.next(format!("operator {index} cannot reach the store"));
+            next.operators[index].after_unanswered_try(tries_left - 1);
             return vec![next];
         }
         let mut steps = Vec::new();
-        let mut next = self.next(format!("operator {index} resolves"));
+        let mut next = self.next(format!("operator {index} learns the outcome"));
         let report = match fault {
             Some(SeededFault::CompareValues) => next.compare_values(index, true),
             Some(SeededFault::NoCancellation) => next.compare_values(index, false),
@@ -34,22 +38,25 @@
         };
         next.operators[index].report(report);
         steps.push(next);
-        if self.left.losses > 0 {
-            let mut next = self.next(format!("operator {index} cancels, answer lost"));
-            next.left.losses -= 1;
+        if self.failures_left.lost_messages > 0 {
+            let mut next =
+                self.next(format!("operator {index} cancels its change, answer lost"));
+            next.failures_left.lost_messages -= 1;
             next.commit(&cancel);
-            next.operators[index].tried(tries - 1);
+            next.operators[index].after_unanswered_try(tries_left - 1);
             steps.push(next);
         }
-        steps.extend(self.delay(index, false, cancel, tries - 1));
+        steps.extend(self.delay_request(index, false, cancel, tries_left - 1));
         steps
     }
 
+    /// The outcome according to the protocol: a change that could be cancelled was not accepted;
+    /// otherwise the marker tells.
     fn cancel_or_read(&mut self, index: usize, cancel: &Transaction) -> Report {
         if self.commit(cancel) {
             return Report::NotAccepted;
         }
-        let marker = self.operators[index].last().id.marker_key();
+        let marker = self.operators[index].last_attempt().id.marker_key();
         match change::verdict(self.store.get(&marker)) {
             Verdict::Accepted { .. } => Report::Accepted,
             Verdict::NotAccepted => Report::NotAccepted,
@@ -57,39 +64,46 @@
         }
     }
 
-    /// The rules that the seeded faults use in place of the cancellation.
-    fn compare_values(&mut self, index: usize, newer_is_ours: bool) -> Report {
-        let change = self.change_of(index, None);
-        let attempt = self.operators[index].last();
+    /// Determines the outcome from the version and value of the record, as the seeded faults
+    /// do in place of the cancellation. `same_value_is_ours` selects
+    /// [`SeededFault::CompareValues`], otherwise [`SeededFault::NoCancellation`].
+    fn compare_values(&mut self, index: usize, same_value_is_ours: bool) -> Report {
+        let change = self.marked_change(index, None);
+        let attempt = self.operators[index].last_attempt();
         let (base, key) = (attempt.base, attempt.edit.record());
         let entry = self.store.get(&key);
         let version = entry.map_or(0, |entry| entry.mod_revision);
         let wanted = change.writes.iter().find_map(|write| match write {
-            Write::Put { key: of, value, .. } if *of == key => Some(value),
+            Write::Put {
+                key: written_key,
+                value,
+                ..
+            } if *written_key == key => Some(value),
             _ => None,
         });
-        let same = entry.map(|entry| &entry.value) == wanted;
+        let has_wanted_value = entry.map(|entry| &entry.value) == wanted;
         match version == base {
-            true if newer_is_ours => Report::Unknown,
+            true if same_value_is_ours => Report::Unknown,
             true => Report::NotAccepted,
-            false if newer_is_ours && same => Report::Accepted,
+            false if same_value_is_ours && has_wanted_value => Report::Accepted,
             false => Report::Unknown,
         }
     }
 
-    /// The lease of a reported change may end at any time.
+    /// The lease of a change may expire at any time after its outcome was reported.
     pub(crate) fn end_leases(&self, index: usize) -> Vec<World> {
-        if self.left.lease_ends == 0 {
+        if self.failures_left.lease_ends == 0 {
             return Vec::new();
         }
         let attempts = self.operators[index].attempts.iter().enumerate();
         attempts
             .filter(|(_, attempt)| attempt.report.is_some() && !attempt.lease_ended)
-            .map(|(place, attempt)| {
-                let mut next = self.next(format!("lease of edit {} ends", attempt.id.0));
-                next.left.lease_ends -= 1;
+            .map(|(position, attempt)| {
+                let mut next =
+                    self.next(format!("lease of edit {} expires", attempt.id.0));
+                next.failures_left.lease_ends -= 1;
                 Arc::make_mut(&mut next.store).revoke_lease(attempt.lease);
-                next.operators[index].attempts[place].lease_ended = true;
+                next.operators[index].attempts[position].lease_ended = true;
                 next
             })
             .collect()
@@ -97,17 +111,17 @@
 
     /// Delayed requests arrive in any order, or never.
     pub(crate) fn message_steps(&self) -> Vec<World> {
-        if !self.is_up {
+        if !self.store_is_up {
             return Vec::new();
         }
         (0..self.messages.len())
-            .map(|place| {
+            .map(|position| {
                 let mut next = self.next("a delayed request arrives");
-                let message = next.messages.remove(place);
+                let message = next.messages.remove(position);
                 let made = next.commit(&message.transaction);
                 let operator = &mut next.operators[message.operator];
                 let attempt = &mut operator.attempts[message.attempt];
-                attempt.applied |= made && message.is_change;
+                attempt.was_applied |= made && message.is_change;
                 next
             })
             .collect()
