--- a/crates/spec/src/home_weights.rs
+++ b/crates/spec/src/home_weights.rs
@@ -1,10 +1,16 @@
-//! Model of the home weight record: scope, faults and events.
+//! Model of the home weight record: bounds, seeded faults and events.
 //!
-//! Bounded: 2 or 3 instances, time in ticks up to a horizon, a few lost answers, delayed
-//! calls, clock lags, crashes and restarts. The store is down while nothing that was sent
-//! to it is processed. Reads are atomic, but plans may use them later. Without loans, an
-//! increase counts at once. With loans there is one customer. Grants may arrive late;
-//! requests and returns arrive at once. Duplicates and calls are part of the other model.
+//! The record in the store assigns each instance a home weight, its share of all customer
+//! contracts. The model checks that instances never use more than the whole of a contract
+//! together while weights move between them and instances join, stop or fail.
+//!
+//! A search is bounded to 2 or 3 instances, a number of ticks, and a few lost answers,
+//! abandoned calls, clock lags, crashes and restarts. An outage of the store is a period in
+//! which it processes none of the calls under way. Reads are atomic, but an instance may
+//! plan with what it read at any later time. Without loans, an increased weight takes effect
+//! at once. With loans there is one customer; grants may arrive late, while loan requests and
+//! returns arrive at once. Duplicated messages and calls of customers are covered by
+//! [`crate::quota_loans`].
 
 use jayreel_model::Incarnation;
 use jayreel_quota::home_weights::HomeRecord;
@@ -12,78 +18,82 @@
 /// Milliseconds in one tick.
 pub const TICK_MS: u64 = 1_000;
 
-/// Life of a registration without renewal, in ticks.
+/// Time after which a registration expires unless it is renewed, in ticks.
 pub const TTL_TICKS: u64 = 2;
 
-/// Time for which a home weight may be used after a renewal was sent, in ticks.
+/// Time for which a home weight may be used after a renewal was sent, in ticks. Measured by
+/// the clock of the sender.
 pub const TERM_TICKS: u64 = 3;
 
-/// Time beyond the term before a weight is reclaimed, in ticks.
+/// Time that must pass beyond [`TERM_TICKS`] before a weight is reclaimed, in ticks.
 pub const MARGIN_TICKS: u64 = 1;
 
-/// Length of a loan in ticks. Longer than the life of a registration, so that a process can
-/// be replaced while what it has lent is still in use.
+/// Length of a loan in ticks. Longer than [`TTL_TICKS`], so that a process can be replaced
+/// while the weight that it has lent is still in use.
 pub const LOAN_TICKS: u64 = 3;
 
-/// A rule that is broken on purpose.
+/// A protocol rule to break, to show that the search finds the resulting violation.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum HomeFault {
-    /// A weight that was adopted from an earlier process counts at once.
+    /// A weight that was adopted from an earlier process of the instance counts as settled at
+    /// once.
     AdoptSettled,
-    /// An own write without answer is forgotten, though it may still arrive.
+    /// An instance forgets a write without an answer, although the store may still apply it.
     ForgetUnansweredWrite,
-    /// A weight that an operator takes from a dead holder counts as released.
+    /// A weight that an operator removes from a dead instance counts as released.
     ForgetReleases,
-    /// A weight is reclaimed as soon as the registration is absent.
+    /// A weight is reclaimed as soon as the registration of its holder is absent.
     ReclaimEarly,
-    /// A record that still shows the weight is used again after the validity had ended.
+    /// After its weight has lapsed, an instance uses it again because the record still shows
+    /// it, without writing the record first.
     NoRewriteAfterLapse,
-    /// A weight that did not count yet is passed on as released.
+    /// A weight that was not settled yet is passed on as released.
     ReleaseUncounted,
-    /// A smaller weight is written while more is lent.
+    /// An instance writes a smaller weight while it has lent more than that.
     ReleaseWhileLent,
-    /// A renewal revives a weight whose validity has ended.
+    /// A renewal makes a lapsed weight valid again.
     RenewAfterLapse,
-    /// A record that was read before the validity ended is planned with after it.
+    /// After its weight has lapsed, an instance plans with a record that it read before.
     StaleReadAfterLapse,
-    /// A larger weight is used when its write is sent.
+    /// A larger weight is used as soon as its write is sent, before it was read back.
     UseBeforeReadBack,
-    /// A smaller weight is written before the larger one is out of use.
+    /// A smaller weight is written while the larger one is still in use.
     WriteBeforeReduce,
 }
 
-/// Bounds of one search.
+/// Bounds of a search.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct HomeScope {
     /// Weights in the record at the start, in parts per million.
     pub weights_ppm: Vec<u32>,
-    /// This many instances, from the first on, renew their registration and read the
-    /// record exactly once in each tick. Only they reclaim weights. The others renew and
-    /// read whenever it leads to a new state.
-    pub steady: usize,
-    /// Renewals and reads of the instances that are not steady.
-    pub contacts: u8,
-    /// Last tick.
+    /// Number of instances, from the first on, that renew their registration and read the
+    /// record exactly once in each tick. Only they reclaim weights. The other instances may
+    /// renew and read at any time.
+    pub steady_instances: usize,
+    /// Number of renewals and reads of all other instances together.
+    pub store_contacts: u8,
+    /// Number of the last tick.
     pub ticks: u64,
-    /// Calls to the store that the instance gives up while they are under way.
-    pub delays: u8,
+    /// Calls to the store for whose answer the sender stops waiting. The store may still
+    /// process them.
+    pub abandoned_calls: u8,
     /// Answers of the store that are lost.
     pub lost_answers: u8,
-    /// Ticks that one clock may miss.
-    pub lags: u8,
-    /// Processes that die and do not come back.
+    /// Number of ticks in which the clock of one instance stands still.
+    pub clock_lags: u8,
+    /// Processes that crash and do not start again.
     pub crashes: u8,
-    /// Processes that die and start again on the same addresses.
+    /// Processes that crash and start again with the same name and address.
     pub restarts: u8,
     /// Planned stops.
     pub stops: u8,
     /// Loans from one instance to another.
     pub loans: u8,
-    /// Whether a grant may arrive late. If not, it arrives at once.
+    /// Whether a grant may arrive late. Otherwise it arrives at once.
     pub late_grants: bool,
-    /// Dead instances whose weight an operator takes away.
-    pub forgets: u8,
-    /// The broken rule.
+    /// Dead instances whose weight an operator removes.
+    pub removals: u8,
+    /// The rule to break, if any.
     pub fault: Option<HomeFault>,
 }
 
@@ -92,53 +102,53 @@
 pub enum StoreCall {
     /// Registers a process, or renews its registration.
     Renew {
-        /// The process.
+        /// The process to register.
         incarnation: Incarnation,
-        /// By the clock of the sender.
+        /// When the call was sent, by the clock of the sender.
         sent_ms: u64,
     },
     /// Writes the record.
     Write {
-        /// The revision that the record must have.
+        /// The revision that the stored record must have.
         revision: u64,
         /// The new record.
         record: HomeRecord,
-        /// Instances that must not be registered.
+        /// Names of instances that must not be registered.
         requires_absent: Vec<String>,
     },
 }
 
-/// What can happen. Instances and calls are named by position.
+/// A transition of the model. Instances, calls and grants are identified by index.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum HomeEvent {
-    /// Time passes.
+    /// One tick passes.
     Tick,
-    /// Time passes, but one clock stands still.
+    /// One tick passes, but the clock of this instance stands still.
     Lag(usize),
     /// An instance sends a renewal of its registration.
     Renew(usize),
     /// The store processes a call and its answer arrives.
-    Process(usize),
+    ProcessCall(usize),
     /// The store processes a call and its answer is lost.
-    ProcessUnanswered(usize),
+    ProcessAndLoseAnswer(usize),
     /// An instance stops waiting for the answer to its call.
-    GiveUp(usize),
-    /// An instance reads record and registrations.
+    AbandonCall(usize),
+    /// An instance reads the record and the registrations.
     Read(usize),
-    /// An instance does the next planned step.
-    Plan(usize),
-    /// A process dies.
+    /// An instance executes the step that it plans from what it read last.
+    ExecuteNextStep(usize),
+    /// A process crashes.
     Crash(usize),
-    /// A process dies and another starts on the same addresses.
+    /// A process crashes and starts again with the same name and address.
     Restart(usize),
     /// A planned stop begins.
     Stop(usize),
-    /// The second instance asks, and the first one lends.
+    /// The second instance requests a loan, and the first one grants it if it can.
     Lend(usize, usize),
-    /// A grant arrives.
-    Grant(usize),
-    /// An instance that stops returns its loans.
+    /// A grant arrives at the borrower.
+    DeliverGrant(usize),
+    /// A stopping instance returns its loans.
     ReturnLoans(usize),
-    /// An operator states that a dead instance is dead.
-    Forget(usize),
+    /// An operator removes a dead instance.
+    RemoveDeadInstance(usize),
 }
--- a/crates/spec/src/home_weights_events.rs
+++ b/crates/spec/src/home_weights_events.rs
@@ -1,4 +1,5 @@
-//! Model of the home weight record: events and properties.
+//! Model of the home weight record: which events are possible, their effects, and the
+//! property that is checked.
 
 use jayreel_quota::home_weights::HomeStep;
 
@@ -13,20 +14,21 @@
         if !instance.alive {
             return;
         }
-        if !instance.waiting && self.calls.len() < MAX_CALLS {
-            let may_contact = index < self.scope.steady || self.contacts > 0;
+        if !instance.awaits_answer && self.calls.len() < MAX_CALLS {
+            let may_contact =
+                index < self.scope.steady_instances || self.store_contacts > 0;
             if may_contact && instance.renewed_ms != Some(instance.now_ms) {
                 events.push(HomeEvent::Renew(index));
             }
-            if may_contact && self.is_news(instance) {
+            if may_contact && self.has_unread_changes(instance) {
                 events.push(HomeEvent::Read(index));
             }
-            if instance.step(self.scope.fault) != HomeStep::Wait {
-                events.push(HomeEvent::Plan(index));
+            if instance.next_step(self.scope.fault) != HomeStep::Wait {
+                events.push(HomeEvent::ExecuteNextStep(index));
             }
         }
-        if instance.waiting && self.delays > 0 {
-            events.push(HomeEvent::GiveUp(index));
+        if instance.awaits_answer && self.abandoned_calls > 0 {
+            events.push(HomeEvent::AbandonCall(index));
         }
         if self.crashes > 0 {
             events.push(HomeEvent::Crash(index));
@@ -37,7 +39,7 @@
         if self.stops > 0 && !instance.stopping {
             events.push(HomeEvent::Stop(index));
         }
-        if self.lags > 0 && self.tick < self.scope.ticks {
+        if self.clock_lags > 0 && self.tick < self.scope.ticks {
             events.push(HomeEvent::Lag(index));
         }
     }
@@ -55,9 +57,9 @@
             self.instance_events(index, &mut events);
         }
         self.loan_events(&mut events);
-        events.extend((0..self.calls.len()).map(HomeEvent::Process));
+        events.extend((0..self.calls.len()).map(HomeEvent::ProcessCall));
         if self.lost_answers > 0 {
-            events.extend((0..self.calls.len()).map(HomeEvent::ProcessUnanswered));
+            events.extend((0..self.calls.len()).map(HomeEvent::ProcessAndLoseAnswer));
         }
         events
     }
@@ -67,27 +69,27 @@
         match *event {
             HomeEvent::Tick => next.tick(None),
             HomeEvent::Lag(index) => {
-                next.lags -= 1;
+                next.clock_lags -= 1;
                 next.tick(Some(index));
             }
             HomeEvent::Renew(index) => {
-                next.count_contact(index);
+                next.count_store_contact(index);
                 next.renew(index);
             }
-            HomeEvent::Process(position) => next.process(position, true),
-            HomeEvent::ProcessUnanswered(position) => {
+            HomeEvent::ProcessCall(position) => next.process_call(position, true),
+            HomeEvent::ProcessAndLoseAnswer(position) => {
                 next.lost_answers -= 1;
-                next.process(position, false);
+                next.process_call(position, false);
             }
-            HomeEvent::GiveUp(index) => {
-                next.delays -= 1;
-                next.instances[index].waiting = false;
+            HomeEvent::AbandonCall(index) => {
+                next.abandoned_calls -= 1;
+                next.instances[index].awaits_answer = false;
             }
             HomeEvent::Read(index) => {
-                next.count_contact(index);
+                next.count_store_contact(index);
                 next.read(index);
             }
-            HomeEvent::Plan(index) => next.plan(index),
+            HomeEvent::ExecuteNextStep(index) => next.execute_next_step(index),
             HomeEvent::Crash(index) => {
                 next.crashes -= 1;
                 next.instances[index].alive = false;
@@ -104,14 +106,16 @@
                 next.loans -= 1;
                 next.lend(from, to);
             }
-            HomeEvent::Grant(position) => next.receive(position),
+            HomeEvent::DeliverGrant(position) => next.receive_grant(position),
             HomeEvent::ReturnLoans(index) => next.return_loans(index),
-            HomeEvent::Forget(index) => {
-                next.forgets -= 1;
-                next.forget(index);
+            HomeEvent::RemoveDeadInstance(index) => {
+                next.removals -= 1;
+                next.remove_dead_instance(index);
             }
         }
-        next.instances.iter_mut().for_each(Instance::look);
+        next.instances
+            .iter_mut()
+            .for_each(Instance::refresh_cached_usage);
         next
     }
 
@@ -125,7 +129,7 @@
         let in_use_ppm: u64 = in_use.map(|instance| u64::from(instance.in_use_ppm)).sum();
         match held_ppm.max(in_use_ppm) > 1_000_000 || !self.record.is_valid() {
             true => Some(format!(
-                "weights of {held_ppm} ppm, {in_use_ppm} ppm in use"
+                "valid home weights of {held_ppm} ppm, {in_use_ppm} ppm in use"
             )),
             false => None,
         }
--- a/crates/spec/src/home_weights_instance.rs
+++ b/crates/spec/src/home_weights_instance.rs
@@ -1,4 +1,4 @@
-//! Model of the home weight record: one instance.
+//! Model of the home weight record: an instance and its quota.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,10 +15,11 @@
 
 const CUSTOMER: &str = "c";
 
-/// A borrower asks for the capacity of two requests, which is 0.8 of this.
+/// Burst of the contract. A borrower requests a loan for the capacity of two calls, which
+/// is 0.8 of the burst.
 const BURST_MREQ: u64 = 2_500;
 
-/// What an instance read last.
+/// What an instance has read from the store in its last read.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct View {
     pub record: HomeRecord,
@@ -26,32 +27,42 @@
     pub registered: BTreeMap<String, Incarnation>,
 }
 
-/// One instance.
+/// State of one instance.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct Instance {
     pub owner: Rc<HomeOwner>,
+    /// Time by the clock of this instance.
     pub now_ms: u64,
+    /// Whether the process runs.
     pub alive: bool,
+    /// Whether a planned stop has begun.
     pub stopping: bool,
     pub quota: Rc<Quota>,
+    /// What the instance read last. `None` before the first read, and after a lapse of the weight until the next read.
     pub view: Option<Rc<View>>,
+    /// Revision of the record on which the last own write was based.
     pub last_write_on: Option<u64>,
+    /// When the last answered renewal of the registration was sent.
     pub renewed_ms: Option<u64>,
+    /// How long the registrations of other instances have been absent.
     pub absence: AbsenceTracker,
-    /// Whether it waits for the answer to a call.
-    pub waiting: bool,
-    /// The weight in use now. Kept to save time.
+    /// Whether the instance waits for the answer to a call to the store.
+    pub awaits_answer: bool,
+    /// The home weight that is valid now, 0 if the process is dead. Cached.
     pub held_ppm: u32,
-    /// What it uses of the customer's contract now. 0 without loans. Kept to save time.
+    /// The share of the customer's contract that the instance may use now: its home weight
+    /// without what it has lent, plus what it has borrowed. 0 without loans. Cached.
     pub in_use_ppm: u32,
-    /// Whether nothing beyond the home weight is lent. Kept to save time.
-    pub settled: bool,
+    /// Whether the instance has lent no more than its home weight. Cached.
+    pub within_home_weight: bool,
 }
 
+/// Name of an instance, which also serves as its address.
 pub(crate) fn name(index: usize) -> String {
     format!("i{index}")
 }
 
+/// The process of an instance with incarnation number `number`.
 pub(crate) fn owner(index: usize, number: u64) -> HomeOwner {
     HomeOwner {
         incarnation: Incarnation {
@@ -62,6 +73,7 @@
     }
 }
 
+/// A tracker that lets a weight be reclaimed [`MARGIN_TICKS`] after its term.
 fn absence(fault: Option<HomeFault>) -> AbsenceTracker {
     let margin_ticks = match fault {
         Some(HomeFault::ReclaimEarly) => 0,
@@ -70,8 +82,8 @@
     AbsenceTracker::with_limits(TICK_MS, margin_ticks * TICK_MS)
 }
 
-/// A quota without customers unless there are loans. The contract has no rate, so that
-/// the states differ only in weights.
+/// A quota with one customer if there are loans, otherwise without customers. The contract
+/// has a rate of 0, so that the states differ only in weights.
 fn quota(owner: &HomeOwner, now_ms: u64, with_loans: bool) -> Quota {
     let mut settings = QuotaSettings::new(owner.incarnation.to_string());
     settings.loan_term_ms = u64::from(with_loans) * LOAN_TICKS * TICK_MS;
@@ -101,19 +113,19 @@
             alive: true,
             stopping: false,
             view: None,
-            // Before the weights of the start there was a write on an older revision.
+            // The initial weights were written on the basis of revision 0.
             last_write_on: (number == 0).then_some(0),
             renewed_ms: None,
             absence: absence(scope.fault),
-            waiting: false,
+            awaits_answer: false,
             held_ppm: 0,
             in_use_ppm: 0,
-            settled: true,
+            within_home_weight: true,
         }
     }
 
-    /// Updates the weight in use.
-    pub fn look(&mut self) {
+    /// Updates the cached values, which depend on the quota and on the time.
+    pub fn refresh_cached_usage(&mut self) {
         let mut quota = (*self.quota).clone();
         self.held_ppm = match self.alive {
             true => quota.home_weight_ppm(self.now_ms),
@@ -124,17 +136,17 @@
         self.in_use_ppm = share.map_or(0, |share| {
             share.home_ppm.saturating_sub(share.lent_ppm) + share.borrowed_ppm
         });
-        self.settled = quota.is_within_home_weight(self.now_ms);
+        self.within_home_weight = quota.is_within_home_weight(self.now_ms);
     }
 
-    /// Whether it stops while it has loans to return.
+    /// Whether the instance is stopping and has loans to return.
     pub fn has_loans(&self) -> bool {
         let has_loans = || (*self.quota).clone().has_loans(self.now_ms);
         self.alive && self.stopping && has_loans()
     }
 
-    /// Asks for a loan, as an instance does whose bucket is short.
-    pub fn ask(&mut self) -> Option<LoanRequest> {
+    /// Requests a loan like an instance that lacks tokens for a call.
+    pub fn request_loan(&mut self) -> Option<LoanRequest> {
         let now_ms = self.now_ms;
         let quota = Rc::make_mut(&mut self.quota);
         let key = quota.quota_key(CUSTOMER)?;
@@ -142,7 +154,8 @@
         quota.loan_request(now_ms, key)
     }
 
-    pub fn step(&self, fault: Option<HomeFault>) -> HomeStep {
+    /// The step that the instance plans from what it read last.
+    pub fn next_step(&self, fault: Option<HomeFault>) -> HomeStep {
         let (Some(view), Some(_)) = (&self.view, self.renewed_ms) else {
             return HomeStep::Wait;
         };
@@ -166,12 +179,13 @@
             reclaimable: &self.absence.reclaimable(term_ms),
             held_ppm: self.held_ppm,
             in_force_ppm: self.quota.home_in_force_ppm(self.now_ms),
-            within_home_weight: self.settled
+            within_home_weight: self.within_home_weight
                 || fault == Some(HomeFault::ReleaseWhileLent),
             stopping: self.stopping,
         })
     }
 
+    /// Starts to use a home weight, which is valid for [`TERM_TICKS`] after the last renewal.
     pub fn use_weight(&mut self, weight_ppm: u32, settled_ppm: u32) {
         let Some(renewed_ms) = self.renewed_ms else {
             return;
@@ -186,8 +200,9 @@
         );
     }
 
-    /// Breaks the rules about the parts of a record that count at once.
-    pub fn misstate(
+    /// Falsifies the settled or released weight in a record that is about to be written, if
+    /// one of these rules is broken.
+    pub fn apply_record_fault(
         &self,
         before: &HomeRecord,
         after: &mut HomeRecord,
@@ -200,19 +215,20 @@
                 entry.settled_ppm = entry.weight_ppm;
             }
             (Some(HomeFault::ReleaseUncounted), _) => {
-                let given_ppm = before_ppm.saturating_sub(after_ppm);
-                after.released_ppm = before.released_ppm + given_ppm;
+                let reduced_ppm = before_ppm.saturating_sub(after_ppm);
+                after.released_ppm = before.released_ppm + reduced_ppm;
             }
             _ => {}
         }
     }
 
-    /// Applies the answer to a renewal.
-    pub fn renewed(&mut self, sent_ms: u64, fault: Option<HomeFault>) {
+    /// Extends the validity of the home weight after the answer to a renewal that was sent at
+    /// `sent_ms`.
+    pub fn on_renewal_answer(&mut self, sent_ms: u64, fault: Option<HomeFault>) {
         let held_ppm = match fault {
             Some(HomeFault::RenewAfterLapse) => {
-                let weight = self.view.as_ref().map(|view| &view.record);
-                let own = weight.and_then(|record| record.weights.get(self.name()));
+                let record = self.view.as_ref().map(|view| &view.record);
+                let own = record.and_then(|record| record.weights.get(self.name()));
                 own.map_or(0, |entry| entry.weight_ppm)
             }
             _ => 0,
@@ -224,11 +240,12 @@
         if held_ppm > 0 {
             self.use_weight(held_ppm, 0);
         } else if !valid {
-            self.lapsed(fault);
+            self.on_weight_lapse(fault);
         }
     }
 
-    fn lapsed(&mut self, fault: Option<HomeFault>) {
+    /// Forgets what must not be used after the home weight has lapsed.
+    fn on_weight_lapse(&mut self, fault: Option<HomeFault>) {
         if fault != Some(HomeFault::StaleReadAfterLapse) {
             self.view = None;
         }
--- a/crates/spec/src/home_weights_loans.rs
+++ b/crates/spec/src/home_weights_loans.rs
@@ -1,4 +1,4 @@
-//! Model of the home weight record: loans, and weight that an operator takes away.
+//! Model of the home weight record: loans, and the removal of dead instances by an operator.
 
 use std::rc::Rc;
 
@@ -7,7 +7,7 @@
 use crate::home_weights_world::HomeWorld;
 
 impl HomeWorld {
-    /// Loans, and dead holders that an operator can name.
+    /// Adds the events of loans, and the removals of dead instances that have a weight.
     pub(crate) fn loan_events(&self, events: &mut Vec<HomeEvent>) {
         let count = self.instances.len();
         let pairs = (0..count).flat_map(|from| (0..count).map(move |to| (from, to)));
@@ -18,17 +18,21 @@
                 events.push(HomeEvent::Lend(from, to));
             }
         }
-        events.extend((0..self.grants.len()).map(HomeEvent::Grant));
+        events.extend((0..self.grants.len()).map(HomeEvent::DeliverGrant));
         let returns = (0..count).filter(|index| self.instances[*index].has_loans());
         events.extend(returns.map(HomeEvent::ReturnLoans));
         let dead = (0..count).filter(|index| !self.instances[*index].alive);
         let held = dead.filter(|index| self.record.weight_ppm(&name(*index)) > 0);
-        events.extend(held.filter(|_| self.forgets > 0).map(HomeEvent::Forget));
+        events.extend(
+            held.filter(|_| self.removals > 0)
+                .map(HomeEvent::RemoveDeadInstance),
+        );
     }
 
-    /// A loan whose grant is under way then, or arrives at once.
+    /// Instance `to` requests a loan and `from` answers it. The grant arrives at once, or is
+    /// under way if grants may be late.
     pub(crate) fn lend(&mut self, from: usize, to: usize) {
-        let Some(request) = self.instances[to].ask() else {
+        let Some(request) = self.instances[to].request_loan() else {
             return;
         };
         let lender = &mut self.instances[from];
@@ -37,13 +41,14 @@
         if grant.weight_ppm > 0 {
             self.grants.push((to, grant));
             if !self.scope.late_grants {
-                self.receive(self.grants.len() - 1);
+                self.receive_grant(self.grants.len() - 1);
             }
         }
     }
 
-    /// A grant arrives. A process that was started since does not know the request.
-    pub(crate) fn receive(&mut self, position: usize) {
+    /// A grant arrives. If the borrower has restarted since its request, its quota does not
+    /// know the request.
+    pub(crate) fn receive_grant(&mut self, position: usize) {
         let (to, grant) = self.grants.remove(position);
         let borrower = &mut self.instances[to];
         let now_ms = borrower.now_ms;
@@ -52,7 +57,7 @@
         }
     }
 
-    /// The loans of a stopping instance are returned.
+    /// Returns the loans of a stopping instance to the lenders that are alive.
     pub(crate) fn return_loans(&mut self, index: usize) {
         let borrower = &mut self.instances[index];
         let now_ms = borrower.now_ms;
@@ -69,7 +74,7 @@
     }
 
     /// An operator removes the weight and the registration of a dead instance.
-    pub(crate) fn forget(&mut self, index: usize) {
+    pub(crate) fn remove_dead_instance(&mut self, index: usize) {
         let name = name(index);
         let held_ppm = self.record.weight_ppm(&name);
         if let Some(mut record) = self.record.forget(&name) {
--- a/crates/spec/src/home_weights_world.rs
+++ b/crates/spec/src/home_weights_world.rs
@@ -1,4 +1,4 @@
-//! Model of the home weight record: state and transitions.
+//! Model of the home weight record: state of the whole system and its transitions.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -10,45 +10,47 @@
 use crate::home_weights::{HomeFault, HomeScope, StoreCall, TICK_MS, TTL_TICKS};
 use crate::home_weights_instance::{Instance, View, name, owner};
 
-/// Clocks of instances start this far apart, because they are never compared.
+/// Distance between the start times of the clocks of two instances. It is large because the
+/// protocol must not compare times of different clocks.
 const CLOCK_OFFSET_MS: u64 = 1_000_000;
 
-/// Calls under way at the same time.
+/// Number of calls to the store that may be under way at the same time.
 pub(crate) const MAX_CALLS: usize = 2;
 
 /// A registration in the store.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub(crate) struct Registered {
+pub(crate) struct Registration {
     pub(crate) incarnation: Incarnation,
-    pub(crate) until_tick: u64,
+    pub(crate) expires_at_tick: u64,
 }
 
-/// The state of the model.
+/// State of the whole system. The counters tell how often an event may still occur.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct HomeWorld {
     pub(crate) scope: Rc<HomeScope>,
     pub(crate) tick: u64,
+    /// The record in the store.
     pub(crate) record: Rc<HomeRecord>,
     pub(crate) revision: u64,
-    pub(crate) registrations: BTreeMap<String, Registered>,
+    pub(crate) registrations: BTreeMap<String, Registration>,
     pub(crate) instances: Vec<Instance>,
-    /// Calls under way to the store, with the sender's incarnation.
+    /// Calls under way to the store, with the index and the incarnation of the sender.
     pub(crate) calls: Vec<(usize, Incarnation, StoreCall)>,
-    /// Grants under way, with the receiver.
+    /// Grants under way, with the index of the borrower.
     pub(crate) grants: Vec<(usize, LoanGrant)>,
-    pub(crate) contacts: u8,
-    pub(crate) delays: u8,
+    pub(crate) store_contacts: u8,
+    pub(crate) abandoned_calls: u8,
     pub(crate) lost_answers: u8,
-    pub(crate) lags: u8,
+    pub(crate) clock_lags: u8,
     pub(crate) crashes: u8,
     pub(crate) restarts: u8,
     pub(crate) stops: u8,
     pub(crate) loans: u8,
-    pub(crate) forgets: u8,
+    pub(crate) removals: u8,
 }
 
 impl HomeWorld {
-    /// The state at tick 0: all instances have just registered, read the record, and use
+    /// The initial state: all instances have just registered, have read the record, and use
     /// their weights.
     pub fn new(scope: HomeScope) -> HomeWorld {
         let mut world = HomeWorld {
@@ -59,15 +61,15 @@
             instances: Vec::new(),
             calls: Vec::new(),
             grants: Vec::new(),
-            contacts: scope.contacts,
-            delays: scope.delays,
+            store_contacts: scope.store_contacts,
+            abandoned_calls: scope.abandoned_calls,
             lost_answers: scope.lost_answers,
-            lags: scope.lags,
+            clock_lags: scope.clock_lags,
             crashes: scope.crashes,
             restarts: scope.restarts,
             stops: scope.stops,
             loans: scope.loans,
-            forgets: scope.forgets,
+            removals: scope.removals,
             scope: Rc::new(scope),
         };
         for index in 0..world.scope.weights_ppm.len() {
@@ -77,7 +79,7 @@
             instance.renewed_ms = Some(now_ms);
             let weight_ppm = world.scope.weights_ppm[index];
             instance.use_weight(weight_ppm, weight_ppm);
-            instance.look();
+            instance.refresh_cached_usage();
             world.instances.push(instance);
         }
         for index in 0..world.instances.len() {
@@ -86,54 +88,59 @@
         world
     }
 
+    /// Registers or renews a process, unless another process of the same name is registered.
     pub(crate) fn register(&mut self, incarnation: &Incarnation) -> bool {
         let name = &incarnation.instance;
         let current = self.registrations.get(name);
-        let is_free = current.is_none_or(|entry| entry.incarnation == *incarnation);
-        if is_free {
-            let until_tick = self.tick + TTL_TICKS;
+        let is_available = current.is_none_or(|entry| entry.incarnation == *incarnation);
+        if is_available {
+            let expires_at_tick = self.tick + TTL_TICKS;
             let incarnation = incarnation.clone();
-            let entry = Registered {
+            let entry = Registration {
                 incarnation,
-                until_tick,
+                expires_at_tick,
             };
             self.registrations.insert(name.clone(), entry);
         }
-        is_free
+        is_available
     }
 
+    /// Advances the time by one tick, except for the clock of instance `lagging`.
     pub(crate) fn tick(&mut self, lagging: Option<usize>) {
         self.tick += 1;
         let tick = self.tick;
         self.registrations
-            .retain(|_, entry| entry.until_tick > tick);
+            .retain(|_, entry| entry.expires_at_tick > tick);
         for (index, instance) in self.instances.iter_mut().enumerate() {
             if Some(index) != lagging {
                 instance.now_ms += TICK_MS;
             }
         }
-        for index in 0..self.scope.steady {
-            self.keep_contact(index);
+        for index in 0..self.scope.steady_instances {
+            self.renew_and_read(index);
         }
     }
 
-    pub(crate) fn keep_contact(&mut self, index: usize) {
+    /// A steady instance renews its registration and reads the record.
+    pub(crate) fn renew_and_read(&mut self, index: usize) {
         let instance = &self.instances[index];
         let incarnation = instance.owner.incarnation.clone();
         if instance.alive && self.register(&incarnation) {
             let instance = &mut self.instances[index];
-            instance.renewed(instance.now_ms, self.scope.fault);
+            instance.on_renewal_answer(instance.now_ms, self.scope.fault);
             self.read(index);
         }
     }
 
+    /// An instance reads the record and the registrations. Steady instances also note which
+    /// registrations are absent.
     pub(crate) fn read(&mut self, index: usize) {
         let entries = self.registrations.iter();
         let registered: BTreeMap<String, Incarnation> = entries
             .map(|(name, entry)| (name.clone(), entry.incarnation.clone()))
             .collect();
         let instance = &mut self.instances[index];
-        if index < self.scope.steady {
+        if index < self.scope.steady_instances {
             let now_ms = instance.now_ms;
             instance.absence.observe(now_ms, &self.record, &registered);
         }
@@ -144,9 +151,9 @@
         }));
     }
 
-    pub(crate) fn call(&mut self, index: usize, call: StoreCall) {
+    pub(crate) fn send_call(&mut self, index: usize, call: StoreCall) {
         let instance = &mut self.instances[index];
-        instance.waiting = true;
+        instance.awaits_answer = true;
         let incarnation = instance.owner.incarnation.clone();
         self.calls.push((index, incarnation, call));
     }
@@ -155,7 +162,7 @@
         let instance = &self.instances[index];
         let incarnation = instance.owner.incarnation.clone();
         let sent_ms = instance.now_ms;
-        self.call(
+        self.send_call(
             index,
             StoreCall::Renew {
                 incarnation,
@@ -164,9 +171,11 @@
         );
     }
 
-    pub(crate) fn process(&mut self, position: usize, answered: bool) {
+    /// The store processes a call. Its sender ignores the answer after it has restarted or
+    /// stopped waiting.
+    pub(crate) fn process_call(&mut self, position: usize, answer_arrives: bool) {
         let (index, sender, call) = self.calls.remove(position);
-        let done = match &call {
+        let succeeded = match &call {
             StoreCall::Renew { incarnation, .. } => self.register(incarnation),
             StoreCall::Write {
                 revision,
@@ -176,18 +185,20 @@
         };
         let instance = &mut self.instances[index];
         let is_sender = instance.owner.incarnation == sender && instance.alive;
-        if !is_sender || !instance.waiting {
+        if !is_sender || !instance.awaits_answer {
             return;
         }
-        instance.waiting = false;
+        instance.awaits_answer = false;
         match call {
-            StoreCall::Renew { sent_ms, .. } if answered && done => {
-                instance.renewed(sent_ms, self.scope.fault);
+            StoreCall::Renew { sent_ms, .. } if answer_arrives && succeeded => {
+                instance.on_renewal_answer(sent_ms, self.scope.fault);
             }
             _ => {}
         }
     }
 
+    /// Writes the record if it has `revision` and none of the instances in `absent` is
+    /// registered.
     pub(crate) fn write(
         &mut self,
         revision: u64,
@@ -205,10 +216,11 @@
         true
     }
 
-    pub(crate) fn plan(&mut self, index: usize) {
+    /// Executes the step that an instance plans, or a faulty one in its place.
+    pub(crate) fn execute_next_step(&mut self, index: usize) {
         let fault = self.scope.fault;
         let instance = &mut self.instances[index];
-        match instance.step(fault) {
+        match instance.next_step(fault) {
             HomeStep::Wait => {}
             HomeStep::Use { weight_ppm, .. }
                 if fault == Some(HomeFault::WriteBeforeReduce)
@@ -231,10 +243,10 @@
                 let Some(view) = instance.view.clone() else {
                     return;
                 };
-                instance.misstate(&view.record, &mut record, fault);
+                instance.apply_record_fault(&view.record, &mut record, fault);
                 instance.last_write_on = Some(view.revision);
                 let revision = view.revision;
-                self.call(
+                self.send_call(
                     index,
                     StoreCall::Write {
                         revision,
@@ -246,6 +258,8 @@
         }
     }
 
+    /// Sends a write of a smaller weight without reducing the weight in use, for
+    /// [`HomeFault::WriteBeforeReduce`].
     pub(crate) fn write_reduced(&mut self, index: usize, weight_ppm: u32) {
         let instance = &self.instances[index];
         let Some(view) = instance.view.clone() else {
@@ -256,7 +270,7 @@
             entry.weight_ppm = weight_ppm;
         }
         let (revision, requires_absent) = (view.revision, Vec::new());
-        self.call(
+        self.send_call(
             index,
             StoreCall::Write {
                 revision,
@@ -266,14 +280,15 @@
         );
     }
 
-    pub(crate) fn count_contact(&mut self, index: usize) {
-        if index >= self.scope.steady {
-            self.contacts -= 1;
+    /// Counts a renewal or read by an instance that is not steady.
+    pub(crate) fn count_store_contact(&mut self, index: usize) {
+        if index >= self.scope.steady_instances {
+            self.store_contacts -= 1;
         }
     }
 
-    /// Whether a read would show this instance something new.
-    pub(crate) fn is_news(&self, instance: &Instance) -> bool {
+    /// Whether record or registrations differ from what the instance read last.
+    pub(crate) fn has_unread_changes(&self, instance: &Instance) -> bool {
         let Some(view) = &instance.view else {
             return true;
         };
@@ -283,6 +298,7 @@
         view.revision != self.revision || !known.eq(current)
     }
 
+    /// Replaces the process of an instance by a new one without memory.
     pub(crate) fn restart(&mut self, index: usize) {
         let instance = &self.instances[index];
         let number = instance.owner.incarnation.number + 1;
@@ -291,6 +307,7 @@
     }
 }
 
+/// The initial record, written by the first processes of all instances.
 fn record(scope: &HomeScope) -> HomeRecord {
     let weights = scope.weights_ppm.iter().enumerate();
     let held = weights.filter(|(_, weight_ppm)| **weight_ppm > 0);
--- a/crates/spec/tests/home_weights.rs
+++ b/crates/spec/tests/home_weights.rs
@@ -1,48 +1,49 @@
-//! Exhaustive searches of the home weight record. Each guards against instances that
-//! together use more than the whole of a contract.
+//! Exhaustive searches of the home weight record. They guard against instances that use
+//! more than the whole of a contract together.
 
 use jayreel_spec::home_weights::{HomeFault, HomeScope};
 use jayreel_spec::home_weights_world::HomeWorld;
 use jayreel_spec::quota_search::{Outcome, search};
 use test_case::test_case;
 
-/// The second instance has no weight yet.
+/// The second instance joins: it has no weight yet.
 fn joining() -> HomeScope {
     HomeScope {
         weights_ppm: vec![1_000_000, 0],
-        steady: 0,
-        contacts: 8,
+        steady_instances: 0,
+        store_contacts: 8,
         ticks: 1,
-        delays: 1,
+        abandoned_calls: 1,
         lost_answers: 1,
-        lags: 0,
+        clock_lags: 0,
         crashes: 0,
         restarts: 0,
         stops: 0,
         loans: 0,
         late_grants: true,
-        forgets: 0,
+        removals: 0,
         fault: None,
     }
 }
 
-/// The joining instance goes away while the write that makes room for it is under way.
+/// The joining instance leaves while the write that reduces the weight of the other one is
+/// under way.
 fn leaving_again() -> HomeScope {
     HomeScope {
-        steady: 1,
-        contacts: 3,
+        steady_instances: 1,
+        store_contacts: 3,
         ticks: 3,
         lost_answers: 0,
         ..joining()
     }
 }
 
-/// Nobody has a weight yet.
+/// No instance has a weight yet.
 fn starting() -> HomeScope {
     let weights_ppm = vec![0, 0];
     HomeScope {
         weights_ppm,
-        contacts: 3,
+        store_contacts: 3,
         ticks: 2,
         ..leaving_again()
     }
@@ -52,39 +53,39 @@
 fn reclaiming() -> HomeScope {
     HomeScope {
         weights_ppm: vec![500_000, 500_000],
-        contacts: 3,
+        store_contacts: 3,
         ticks: 8,
-        delays: 0,
+        abandoned_calls: 0,
         ..leaving_again()
     }
 }
 
-/// A process is replaced while one of its calls is under way.
+/// A process restarts while one of its calls is under way.
 fn restarting() -> HomeScope {
     HomeScope {
-        contacts: 5,
+        store_contacts: 5,
         ticks: 2,
-        delays: 1,
+        abandoned_calls: 1,
         restarts: 1,
         ..reclaiming()
     }
 }
 
-/// The clock of one instance falls behind.
+/// The clock of one instance falls behind by one tick.
 fn lagging() -> HomeScope {
     HomeScope {
-        lags: 1,
-        contacts: 2,
+        clock_lags: 1,
+        store_contacts: 2,
         ticks: 7,
         ..reclaiming()
     }
 }
 
-/// A process dies at any time.
+/// A process crashes at any time.
 fn crashing() -> HomeScope {
     HomeScope {
         crashes: 1,
-        contacts: 2,
+        store_contacts: 2,
         ticks: 7,
         ..reclaiming()
     }
@@ -94,21 +95,21 @@
 fn stopping() -> HomeScope {
     HomeScope {
         stops: 1,
-        contacts: 4,
+        store_contacts: 4,
         ticks: 2,
-        delays: 1,
+        abandoned_calls: 1,
         ..reclaiming()
     }
 }
 
-/// Two instances make room for a third.
-fn trio() -> HomeScope {
+/// Two instances reduce their weights for a third one that joins.
+fn three_instances() -> HomeScope {
     let weights_ppm = vec![500_000, 500_000, 0];
     HomeScope {
         weights_ppm,
-        contacts: 3,
-        steady: 2,
-        delays: 0,
+        store_contacts: 3,
+        steady_instances: 2,
+        abandoned_calls: 0,
         ..joining()
     }
 }
@@ -117,59 +118,59 @@
 fn lending() -> HomeScope {
     HomeScope {
         loans: 1,
-        contacts: 4,
+        store_contacts: 4,
         ticks: 2,
-        delays: 0,
+        abandoned_calls: 0,
         lost_answers: 0,
         ..joining()
     }
 }
 
-/// Answers are lost and calls are late while weight moves and parts of it are lent.
+/// Answers are lost and calls are abandoned while weight moves and parts of it are lent.
 fn lending_with_lost_answers() -> HomeScope {
     HomeScope {
         loans: 1,
-        contacts: 8,
+        store_contacts: 8,
         ..joining()
     }
 }
 
-/// The second instance is cut off or paused, and one of the two has lent.
+/// The second instance is cut off or paused, and one of the two has lent weight.
 fn lending_and_reclaiming() -> HomeScope {
     HomeScope {
         loans: 1,
         late_grants: false,
-        contacts: 2,
+        store_contacts: 2,
         ..reclaiming()
     }
 }
 
-/// A process that has lent is replaced by one that adopts its weight.
+/// A process that has lent weight restarts, and the new process adopts its home weight.
 fn lending_and_restarting() -> HomeScope {
     HomeScope {
         restarts: 1,
-        steady: 2,
+        steady_instances: 2,
         ticks: 3,
         ..lending()
     }
 }
 
-/// An operator takes away the weight of a dead process that has lent.
+/// An operator removes the weight of a dead instance that has lent a part of it.
 fn lending_and_forgetting() -> HomeScope {
     HomeScope {
         crashes: 1,
-        forgets: 1,
-        steady: 2,
+        removals: 1,
+        steady_instances: 2,
         ticks: 3,
         ..lending()
     }
 }
 
-/// A planned stop while parts of the weight are lent.
+/// An instance is stopped while parts of its weight are lent.
 fn lending_and_stopping() -> HomeScope {
     HomeScope {
         stops: 1,
-        steady: 2,
+        steady_instances: 2,
         ticks: 3,
         ..lending()
     }
@@ -187,14 +188,14 @@
 #[test_case("lagging", lagging(); "lagging")]
 #[test_case("crashing", crashing(); "crashing")]
 #[test_case("stopping", stopping(); "stopping")]
-#[test_case("trio", trio(); "trio")]
+#[test_case("three instances", three_instances(); "three instances")]
 #[test_case("lending", lending(); "lending")]
 #[test_case("lending with lost answers", lending_with_lost_answers(); "lending with lost answers")]
 #[test_case("lending and reclaiming", lending_and_reclaiming(); "lending and reclaiming")]
 #[test_case("lending and restarting", lending_and_restarting(); "lending and restarting")]
 #[test_case("lending and forgetting", lending_and_forgetting(); "lending and forgetting")]
 #[test_case("lending and stopping", lending_and_stopping(); "lending and stopping")]
-fn no_excess(name: &str, scope: HomeScope) {
+fn contract_is_not_exceeded(name: &str, scope: HomeScope) {
     let outcome = run(name, scope);
     assert!(outcome.violation.is_none(), "{:?}", outcome.violation);
 }
@@ -210,7 +211,7 @@
 #[test_case(HomeFault::ForgetReleases, lending_and_forgetting(); "forget releases")]
 #[test_case(HomeFault::ReleaseUncounted, lending_and_restarting(); "release uncounted")]
 #[test_case(HomeFault::ReleaseWhileLent, lending(); "release while lent")]
-fn fault_is_found(fault: HomeFault, scope: HomeScope) {
+fn seeded_fault_is_found(fault: HomeFault, scope: HomeScope) {
     let outcome = run(
         &format!("{fault:?}"),
         HomeScope {
