--- a/crates/spec/src/quota_loans.rs
+++ b/crates/spec/src/quota_loans.rs
@@ -1,10 +1,15 @@
-//! Model of loans between instances: scope, faults and events.
+//! Model of loans between instances: bounds, seeded faults and events.
 //!
-//! Bounded: 2 or 3 instances, one customer, time in ticks up to a horizon, a few loan
-//! requests, duplications, restarts and clock lags. A message that is never delivered
-//! within the horizon stands for a lost one. A paused process is one to which nothing
-//! happens for some ticks. A process that is paused between its last check of the dispatch
-//! deadline and its first byte is not modelled.
+//! Each instance may use a share of a customer's contract: its home weight. An instance that
+//! lacks tokens borrows a part of the share of another one for a limited time. The model
+//! checks that the customer never gets more than the contract allows, although messages are
+//! lost or duplicated, clocks lag and processes restart.
+//!
+//! A search is bounded to 2 or 3 instances, one customer, a number of ticks, and a few loan
+//! requests, duplicated messages, restarts and clock lags. A message that is not delivered
+//! before the last tick stands for a lost one. A process that is paused is one without events
+//! for some ticks. A pause between the last check of the dispatch deadline and the first byte
+//! that is sent is not modelled.
 
 use jayreel_quota::{LoanGrant, LoanRequest, LoanReturn};
 
@@ -14,42 +19,45 @@
 /// Length of a loan in ticks.
 pub const TERM_TICKS: u64 = 2;
 
-/// Longest time between taking and sending a call, in ticks.
+/// Dispatch deadline: longest time between taking a token for a call and sending the call,
+/// in ticks.
 pub const DEADLINE_TICKS: u64 = 1;
 
-/// Allowance for clock differences in ticks.
+/// Allowance for clocks that run at different rates, in ticks.
 pub const MARGIN_TICKS: u64 = 1;
 
-/// A rule that is broken on purpose.
+/// A protocol rule to break, to show that the search finds the resulting violation.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum LoanFault {
-    /// Loans are amounts, which a contract change does not rescale.
+    /// Loans are absolute amounts, which a change of the contract does not rescale.
     AbsoluteAmounts,
-    /// The borrower counts the term from the receipt of the grant.
+    /// The borrower counts the term of a loan from the receipt of the grant.
     TermFromReceipt,
-    /// The borrower accepts a grant as often as it arrives.
+    /// The borrower accepts each copy of a duplicated grant.
     DuplicateAccepted,
-    /// A taken call does not occupy a place in the bucket until it is sent.
+    /// A token that was taken does not occupy its place in the bucket until the call is sent.
     NoHold,
-    /// The lender's margin lacks the allowance for clock differences.
+    /// The lender waits for the term and the dispatch deadline only, without the allowance for
+    /// clock differences.
     NoClockMargin,
-    /// The lender counts the bare term.
+    /// The lender waits for the term only.
     NoMargin,
-    /// The lender reduces its share some time after it has granted.
+    /// The lender grants a loan first and reduces its own share some time later.
     ReduceAfterGrant,
-    /// A restarted instance uses its home weight at once.
+    /// A restarted instance uses its home weight at once, without waiting until loans of the
+    /// earlier process have ended.
     RestartWithoutDelay,
-    /// The borrower returns a loan and goes on using it.
+    /// The borrower goes on using a loan that it has returned.
     ReturnKeptInUse,
-    /// A call that is sent is not checked against the dispatch deadline.
+    /// A call is sent after the dispatch deadline.
     SentAfterDeadline,
-    /// The borrower spends without reading the clock after a pause.
+    /// After a pause, an instance takes a token without reading the clock.
     StaleClock,
-    /// A call that was given back late restores its token.
+    /// A call that is given back late restores its token as if it had been taken later.
     LateRefund,
 }
 
-/// Bounds of one search.
+/// Bounds of a search.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LoanScope {
     /// Home weights of the instances, in parts per million.
@@ -58,25 +66,26 @@
     pub rate_mreq_per_s: u64,
     /// Burst in thousandths of a request.
     pub burst_mreq: u64,
-    /// Last tick.
+    /// Number of the last tick.
     pub ticks: u64,
-    /// Loan requests.
-    pub asks: u8,
-    /// Calls that are not sent at the moment they are taken.
-    pub holds: u8,
-    /// Duplicated deliveries.
+    /// Number of loan requests.
+    pub loan_requests: u8,
+    /// Number of calls that are not sent at once after their token was taken.
+    pub delayed_calls: u8,
+    /// Number of messages that are delivered twice.
     pub duplicates: u8,
-    /// Restarts.
+    /// Number of restarts.
     pub restarts: u8,
-    /// Ticks that one clock may miss.
-    pub lags: u8,
-    /// Whether loans may be returned early.
-    pub returns: bool,
-    /// Whether the contract is halved at some time.
-    pub lowered: bool,
-    /// Whether instances look at their clocks only when something happens to them.
-    pub lazy: bool,
-    /// The broken rule.
+    /// Number of ticks in which the clock of one instance stands still.
+    pub clock_lags: u8,
+    /// Whether instances may stop and return their loans early.
+    pub early_returns: bool,
+    /// Whether the contract is halved at some time. Each instance learns of it on its own.
+    pub contract_lowered: bool,
+    /// Whether an instance reads its clock only when it has an event. Otherwise it expires
+    /// loans at each tick.
+    pub reads_clock_on_events: bool,
+    /// The rule to break, if any.
     pub fault: Option<LoanFault>,
 }
 
@@ -91,33 +100,33 @@
     Return(LoanReturn),
 }
 
-/// What can happen. Instances and messages are named by position.
+/// A transition of the model. Instances and messages are identified by index.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LoanEvent {
-    /// Time passes.
+    /// One tick passes.
     Tick,
-    /// Time passes, but one clock stands still.
+    /// One tick passes, but the clock of this instance stands still.
     Lag(usize),
-    /// A call takes a token and is sent.
-    Run(usize),
-    /// A call takes a token.
-    Take(usize),
-    /// The oldest taken call is sent.
-    Send(usize),
-    /// The oldest taken call is given back.
-    GiveBack(usize),
-    /// An instance that is short asks a peer.
-    Ask(usize, usize),
+    /// A call takes a token and is sent at once.
+    CallAtOnce(usize),
+    /// A call takes a token and is sent or given back later.
+    TakeToken(usize),
+    /// The oldest call that has a token is sent.
+    SendCall(usize),
+    /// The oldest call that has a token is given back without being sent.
+    ReturnToken(usize),
+    /// The first instance, which lacks tokens, requests a loan from the second.
+    RequestLoan(usize, usize),
     /// A message arrives.
     Deliver(usize),
-    /// A message arrives and another copy stays under way.
-    Duplicate(usize),
-    /// A planned stop returns its loans.
+    /// A message arrives, and a copy of it stays under way.
+    DeliverAndKeep(usize),
+    /// An instance begins a planned stop and returns its loans.
     ReturnLoans(usize),
-    /// A process dies and starts again on the same addresses.
+    /// A process crashes and starts again with the same name.
     Restart(usize),
     /// An instance applies the lowered contract.
-    Lower(usize),
+    LowerContract(usize),
     /// With [`LoanFault::ReduceAfterGrant`]: a lender reduces its share.
-    Reduce(usize),
+    ReduceShare(usize),
 }
--- a/crates/spec/src/quota_loans_events.rs
+++ b/crates/spec/src/quota_loans_events.rs
@@ -1,4 +1,5 @@
-//! Model of loans between instances: events and properties.
+//! Model of loans between instances: which events are possible, their effects, and the
+//! properties that are checked.
 
 use crate::quota_loans::{DEADLINE_TICKS, LoanEvent, LoanFault, TICK_MS};
 use crate::quota_loans_world::LoanWorld;
@@ -7,34 +8,34 @@
 impl LoanWorld {
     fn instance_events(&self, index: usize, events: &mut Vec<LoanEvent>) {
         let instance = &self.instances[index];
-        let can_take = instance.seen.can_take;
+        let can_take = instance.summary.can_take;
         if can_take {
-            events.push(LoanEvent::Run(index));
+            events.push(LoanEvent::CallAtOnce(index));
         }
-        if can_take && self.holds > 0 {
-            events.push(LoanEvent::Take(index));
+        if can_take && self.delayed_calls > 0 {
+            events.push(LoanEvent::TakeToken(index));
         }
-        if !can_take && self.asks > 0 && !instance.stopping {
+        if !can_take && self.loan_requests > 0 && !instance.stopping {
             let peers = (0..self.instances.len()).filter(|&peer| peer != index);
-            events.extend(peers.map(|peer| LoanEvent::Ask(index, peer)));
+            events.extend(peers.map(|peer| LoanEvent::RequestLoan(index, peer)));
         }
         if let Some(&taken_ms) = instance.unsent_ms.first() {
             let in_time = instance.now_ms - taken_ms <= DEADLINE_TICKS * TICK_MS;
             if in_time || self.has(LoanFault::SentAfterDeadline) {
-                events.push(LoanEvent::Send(index));
+                events.push(LoanEvent::SendCall(index));
             }
-            events.push(LoanEvent::GiveBack(index));
+            events.push(LoanEvent::ReturnToken(index));
         }
-        if self.scope.returns && instance.seen.has_loans {
+        if self.scope.early_returns && instance.summary.has_loans {
             events.push(LoanEvent::ReturnLoans(index));
         }
         if self.restarts > 0 {
             events.push(LoanEvent::Restart(index));
         }
-        if self.scope.lowered && !instance.lowered {
-            events.push(LoanEvent::Lower(index));
+        if self.scope.contract_lowered && !instance.contract_lowered {
+            events.push(LoanEvent::LowerContract(index));
         }
-        if self.lags > 0 && self.tick < self.scope.ticks {
+        if self.clock_lags > 0 && self.tick < self.scope.ticks {
             events.push(LoanEvent::Lag(index));
         }
     }
@@ -53,9 +54,9 @@
         }
         events.extend((0..self.messages.len()).map(LoanEvent::Deliver));
         if self.duplicates > 0 {
-            events.extend((0..self.messages.len()).map(LoanEvent::Duplicate));
+            events.extend((0..self.messages.len()).map(LoanEvent::DeliverAndKeep));
         }
-        events.extend((0..self.reductions.len()).map(LoanEvent::Reduce));
+        events.extend((0..self.reductions.len()).map(LoanEvent::ReduceShare));
         events
     }
 
@@ -64,38 +65,40 @@
         match *event {
             LoanEvent::Tick => next.tick(None),
             LoanEvent::Lag(index) => {
-                next.lags -= 1;
+                next.clock_lags -= 1;
                 next.tick(Some(index));
             }
-            LoanEvent::Run(index) => {
+            LoanEvent::CallAtOnce(index) => {
                 next.take(index);
                 next.send_newest(index);
             }
-            LoanEvent::Take(index) => {
-                next.holds -= 1;
+            LoanEvent::TakeToken(index) => {
+                next.delayed_calls -= 1;
                 next.take(index);
             }
-            LoanEvent::Send(index) => next.send(index, 0),
-            LoanEvent::GiveBack(index) => next.give_back(index),
-            LoanEvent::Ask(index, peer) => next.ask(index, peer),
+            LoanEvent::SendCall(index) => next.send(index, 0),
+            LoanEvent::ReturnToken(index) => next.give_back(index),
+            LoanEvent::RequestLoan(index, peer) => next.request_loan(index, peer),
             LoanEvent::Deliver(position) => next.deliver(position, false),
-            LoanEvent::Duplicate(position) => {
+            LoanEvent::DeliverAndKeep(position) => {
                 next.duplicates -= 1;
                 next.deliver(position, true);
             }
             LoanEvent::ReturnLoans(index) => next.return_loans(index),
             LoanEvent::Restart(index) => next.restart(index),
-            LoanEvent::Lower(index) => next.instances[index].lower(&self.scope),
-            LoanEvent::Reduce(position) => {
+            LoanEvent::LowerContract(index) => {
+                next.instances[index].lower_contract(&self.scope)
+            }
+            LoanEvent::ReduceShare(position) => {
                 let (lender, request) = next.reductions.remove(position);
                 let now_ms = next.instances[lender].now_ms;
                 next.instances[lender].quota_mut().lend(now_ms, &request);
             }
         }
-        next.settle_lowered();
+        next.finish_contract_change();
         for (instance, before) in next.instances.iter_mut().zip(&self.instances) {
-            if !instance.is_same(before) {
-                instance.look();
+            if !instance.is_unchanged(before) {
+                instance.refresh_summary();
             }
         }
         next
@@ -104,16 +107,22 @@
     fn violation(&self) -> Option<String> {
         let burst_mreq = self.contract().1;
         if self.excess_mreq > burst_mreq {
-            return Some(format!("sent {} mreq beyond the rate", self.excess_mreq));
+            return Some(format!(
+                "calls of {} mreq sent beyond the rate, with a burst of {burst_mreq}",
+                self.excess_mreq
+            ));
         }
         let in_use = self
             .instances
             .iter()
             .map(|instance| self.in_use_mreq(instance));
         let in_use_mreq: u64 = in_use.sum();
-        let transition = self.scope.lowered && !self.lowered;
-        if !transition && in_use_mreq > burst_mreq {
-            return Some(format!("capacity of {in_use_mreq} mreq in use"));
+        // Shares are not added up until all instances use the lowered contract.
+        let is_changing = self.scope.contract_lowered && !self.contract_lowered;
+        if !is_changing && in_use_mreq > burst_mreq {
+            return Some(format!(
+                "capacity of {in_use_mreq} mreq in use, with a burst of {burst_mreq}"
+            ));
         }
         None
     }
--- a/crates/spec/src/quota_loans_world.rs
+++ b/crates/spec/src/quota_loans_world.rs
@@ -1,4 +1,4 @@
-//! Model of loans between instances: state and transitions.
+//! Model of loans between instances: state of the whole system and its transitions.
 
 use std::rc::Rc;
 
@@ -7,31 +7,35 @@
 use crate::quota_loans::{DEADLINE_TICKS, LoanFault, LoanMessage, LoanScope, TICK_MS};
 use crate::quota_loans_instance::Instance;
 
+/// Tokens of one call, in thousandths of a request.
 const CALL_MREQ: u64 = 1_000;
 
-/// The state of the model.
+/// State of the whole system. The counters tell how often an event may still occur.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LoanWorld {
     pub(crate) scope: Rc<LoanScope>,
     pub(crate) tick: u64,
     pub(crate) instances: Vec<Instance>,
-    /// Messages under way, with the receiver. Sorted, because order does not matter.
+    /// Messages under way, with the index of the receiver. Sorted, since states that differ
+    /// only in the order of messages are equivalent.
     pub(crate) messages: Vec<(usize, LoanMessage)>,
-    /// Grants whose lender has not reduced its share yet.
+    /// Requests that were granted while the lender has not reduced its share yet, with the
+    /// index of the lender. Only with [`LoanFault::ReduceAfterGrant`].
     pub(crate) reductions: Vec<(usize, LoanRequest)>,
-    pub(crate) asks: u8,
-    pub(crate) holds: u8,
+    pub(crate) loan_requests: u8,
+    pub(crate) delayed_calls: u8,
     pub(crate) duplicates: u8,
     pub(crate) restarts: u8,
-    pub(crate) lags: u8,
-    /// Sent calls beyond the rate: the largest value over all windows that end now.
+    pub(crate) clock_lags: u8,
+    /// Calls sent in a window minus rate × length of the window, in thousandths of a request:
+    /// the largest value over all windows that end now. Must not exceed the burst.
     pub(crate) excess_mreq: u64,
-    /// Set once all instances use the lowered contract and older calls are gone.
-    pub(crate) lowered: bool,
+    /// Whether all instances use the lowered contract and no call from before is unsent.
+    pub(crate) contract_lowered: bool,
 }
 
 impl LoanWorld {
-    /// The state at tick 0, with full buckets.
+    /// The initial state, with full buckets.
     pub fn new(scope: LoanScope) -> LoanWorld {
         let scope = Rc::new(scope);
         let count = scope.weights_ppm.len();
@@ -39,18 +43,18 @@
             .map(|index| Instance::new(&scope, index))
             .collect();
         LoanWorld {
-            asks: scope.asks,
-            holds: scope.holds,
+            loan_requests: scope.loan_requests,
+            delayed_calls: scope.delayed_calls,
             duplicates: scope.duplicates,
             restarts: scope.restarts,
-            lags: scope.lags,
+            clock_lags: scope.clock_lags,
             scope,
             tick: 0,
             instances,
             messages: Vec::new(),
             reductions: Vec::new(),
             excess_mreq: 0,
-            lowered: false,
+            contract_lowered: false,
         }
     }
 
@@ -58,30 +62,33 @@
         self.scope.fault == Some(fault)
     }
 
+    /// Rate and burst of the contract.
     pub(crate) fn contract(&self) -> (u64, u64) {
-        let divisor = if self.lowered { 2 } else { 1 };
+        let divisor = if self.contract_lowered { 2 } else { 1 };
         (
             self.scope.rate_mreq_per_s / divisor,
             self.scope.burst_mreq / divisor,
         )
     }
 
+    /// Advances the time by one tick, except for the clock of instance `lagging`.
     pub(crate) fn tick(&mut self, lagging: Option<usize>) {
         self.tick += 1;
         let passed_mreq = self.contract().0 * TICK_MS / 1_000;
         self.excess_mreq = self.excess_mreq.saturating_sub(passed_mreq);
-        let lazy = self.scope.lazy;
+        let reads_clock_on_events = self.scope.reads_clock_on_events;
         for (index, instance) in self.instances.iter_mut().enumerate() {
             if Some(index) == lagging {
                 continue;
             }
             instance.now_ms += TICK_MS;
-            if !lazy {
+            if !reads_clock_on_events {
                 Rc::make_mut(&mut instance.quota).expire(instance.now_ms);
             }
         }
     }
 
+    /// A call takes a token and is not sent yet.
     pub(crate) fn take(&mut self, index: usize) {
         let instance = &mut self.instances[index];
         let now_ms = instance.take_ms();
@@ -91,11 +98,13 @@
         instance.unsent_ms.push(instance.now_ms);
     }
 
+    /// Sends the call that took its token last.
     pub(crate) fn send_newest(&mut self, index: usize) {
         let position = self.instances[index].unsent_ms.len() - 1;
         self.send(index, position);
     }
 
+    /// Sends the call at `position` of the unsent calls.
     pub(crate) fn send(&mut self, index: usize, position: usize) {
         let instance = &mut self.instances[index];
         let taken_ms = instance.unsent_ms.remove(position);
@@ -104,6 +113,7 @@
         self.excess_mreq += CALL_MREQ;
     }
 
+    /// Gives back the token of the oldest unsent call.
     pub(crate) fn give_back(&mut self, index: usize) {
         let late_refund = self.has(LoanFault::LateRefund);
         let instance = &mut self.instances[index];
@@ -115,9 +125,9 @@
         instance.quota_mut().give_back(now_ms, key, taken_ms);
     }
 
-    pub(crate) fn ask(&mut self, index: usize, peer: usize) {
-        self.asks -= 1;
-        if let Some(request) = self.instances[index].ask() {
+    pub(crate) fn request_loan(&mut self, index: usize, peer: usize) {
+        self.loan_requests -= 1;
+        if let Some(request) = self.instances[index].request_loan() {
             self.post(peer, LoanMessage::Request(request));
         }
     }
@@ -127,8 +137,9 @@
         self.messages.sort();
     }
 
-    pub(crate) fn deliver(&mut self, position: usize, keep: bool) {
-        let (to, message) = match keep {
+    /// Delivers the message at `position`. With `keep_copy` a copy stays under way.
+    pub(crate) fn deliver(&mut self, position: usize, keep_copy: bool) {
+        let (to, message) = match keep_copy {
             true => self.messages[position].clone(),
             false => self.messages.remove(position),
         };
@@ -143,8 +154,9 @@
         }
     }
 
+    /// Instance `to` answers a loan request, and sends a grant unless the loan is 0.
     pub(crate) fn lend(&mut self, to: usize, request: &LoanRequest) {
-        let late = self.has(LoanFault::ReduceAfterGrant);
+        let reduces_later = self.has(LoanFault::ReduceAfterGrant);
         let instance = &mut self.instances[to];
         let now_ms = instance.now_ms;
         let before = Rc::clone(&instance.quota);
@@ -152,7 +164,7 @@
         if grant.weight_ppm == 0 {
             return;
         }
-        if late {
+        if reduces_later {
             instance.quota = before;
             self.reductions.push((to, request.clone()));
         }
@@ -160,29 +172,31 @@
         self.post(borrower, LoanMessage::Grant(grant));
     }
 
+    /// The borrower receives a grant.
     pub(crate) fn receive(&mut self, to: usize, mut grant: LoanGrant) {
-        let renumber = self.has(LoanFault::TermFromReceipt)
+        let accepts_as_new = self.has(LoanFault::TermFromReceipt)
             || self.has(LoanFault::DuplicateAccepted);
-        let amounts = self.has(LoanFault::AbsoluteAmounts);
+        let uses_absolute_amounts = self.has(LoanFault::AbsoluteAmounts);
         let instance = &mut self.instances[to];
-        if renumber && let Some(request) = instance.ask() {
+        if accepts_as_new && let Some(request) = instance.request_loan() {
             grant.id = request.id;
         }
-        if amounts && instance.lowered {
+        if uses_absolute_amounts && instance.contract_lowered {
             grant.weight_ppm *= 2;
         }
         let now_ms = instance.now_ms;
         instance.quota_mut().receive(now_ms, grant);
     }
 
+    /// An instance begins a planned stop and returns its loans.
     pub(crate) fn return_loans(&mut self, index: usize) {
-        let kept = self.has(LoanFault::ReturnKeptInUse);
+        let keeps_using = self.has(LoanFault::ReturnKeptInUse);
         let instance = &mut self.instances[index];
         let now_ms = instance.now_ms;
         let before = Rc::clone(&instance.quota);
         let returns = instance.quota_mut().return_loans(now_ms);
         instance.stopping = true;
-        if kept {
+        if keeps_using {
             instance.quota = before;
         }
         for returned in returns {
@@ -191,9 +205,12 @@
         }
     }
 
+    /// Index of the instance with this incarnation.
     pub(crate) fn index_of(&self, incarnation: &str) -> usize {
-        let (index, _) = incarnation.split_once('.').expect("INDEX.START");
-        index.parse().expect("a number")
+        let (index, _) = incarnation
+            .split_once('.')
+            .expect("incarnations have the form INDEX.STARTS");
+        index.parse().expect("the index is a number")
     }
 
     pub(crate) fn restart(&mut self, index: usize) {
@@ -202,22 +219,27 @@
         self.instances[index].restart(&self.scope, index, backdated);
     }
 
-    /// Whether the lowered contract can be checked from now on.
-    pub(crate) fn settle_lowered(&mut self) {
-        let all = self.instances.iter().all(|instance| instance.lowered);
-        let idle = self
+    /// Begins to check the lowered contract once all instances use it and no call from before
+    /// is unsent.
+    pub(crate) fn finish_contract_change(&mut self) {
+        let all_lowered = self
+            .instances
+            .iter()
+            .all(|instance| instance.contract_lowered);
+        let none_unsent = self
             .instances
             .iter()
             .all(|instance| instance.unsent_ms.is_empty());
-        if all && idle && !self.lowered {
-            self.lowered = true;
+        if all_lowered && none_unsent && !self.contract_lowered {
+            self.contract_lowered = true;
             self.excess_mreq = 0;
         }
     }
 
-    /// Capacity in use: that of the weight, or that of calls about to be sent.
+    /// Capacity that an instance uses: that of its weight, or that of the calls which it may
+    /// still send, whichever is larger.
     pub(crate) fn in_use_mreq(&self, instance: &Instance) -> u64 {
-        let weight_ppm = u64::from(instance.seen.weight_ppm);
+        let weight_ppm = u64::from(instance.summary.weight_ppm);
         let capacity_mreq = weight_ppm * self.contract().1 / 1_000_000;
         let deadline_ms = DEADLINE_TICKS * TICK_MS;
         let sendable = instance
