--- a/crates/spec/src/ownership_budget.rs
+++ b/crates/spec/src/ownership_budget.rs
@@ -1,18 +1,25 @@
-//! The budget of one program over owner and successors.
+//! Model of the budget of one program that is taken over by other processes.
 //!
-//! The program belongs to process 0 and its calls cost one token each. The product's own
+//! It checks that the owner and its successors never spend more than the budget together.
+//! Process 0 opened the program, whose calls use one token each. All decisions are made by
 //! [`Programs`](jayreel_programs::Programs), [`BudgetRecord`](jayreel_programs::BudgetRecord)
-//! and [`Takeovers`](jayreel_programs::Takeovers) decide. Any process that considers itself
-//! responsible may run a call at any step, whether or not it was succeeded. The environment
-//! may apply a grant write at any later time, twice or never; lose its answer, so that the
-//! process reads the record back while the write may still be under way; let any process
-//! claim any responsible one, alive or not; keep any process from reading; and deliver the
-//! handover of a planned stop late, twice or never. A crash, a pause, a partition and an
-//! outage of the store are processes or messages without further steps.
+//! and [`Takeovers`](jayreel_programs::Takeovers). A process that considers itself
+//! responsible may run a call at any step, also after it was taken over. The model adds the
+//! failures, any of which may occur at any step:
 //!
-//! Bounded: three processes and a budget of three tokens with a first tranche of one. Each
-//! call ends in the step that starts it; reservations of concurrent sub-agents are covered by
-//! the property test of the programs crate.
+//! - The store applies a write of grants late, twice or never.
+//! - The answer to a write is lost, so that the process reads the record back while the write
+//!   may still be under way.
+//! - A process claims the takeover of the responsible process, which may still run.
+//! - A process does not read the takeover records.
+//! - The handover of a planned stop arrives late, twice or never.
+//!
+//! A crash, a pause, a partition and an outage of the store need no steps: they are processes
+//! or messages without further steps.
+//!
+//! A search is bounded to three processes and a budget of three tokens, of which the first
+//! tranche is one. Each call ends in the step that starts it. Reservations of concurrent
+//! sub-agents are covered by the property test of the `jayreel-programs` crate.
 
 mod process;
 mod world;
--- a/crates/spec/src/ownership_budget/world.rs
+++ b/crates/spec/src/ownership_budget/world.rs
@@ -1,4 +1,4 @@
-//! States and the store.
+//! State of the whole system, the store, and the implementation of the model.
 
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
@@ -13,53 +13,54 @@
 
 use crate::ownership::{Model, Step, incarnation, takeover_records};
 
-/// Budget of the program.
+/// Budget of the program, in tokens.
 pub(super) const BUDGET_TOKENS: u64 = 3;
 
-/// One token of the budget.
+/// Grants one token of the budget in the first tranche.
 const FIRST_TRANCHE_PERCENT: u8 = 34;
 
-/// Processes.
+/// Number of processes.
 pub(super) const PROCESSES: usize = 3;
 
-/// A rule that is left out.
+/// A protocol rule to break, to show that the search finds the resulting violation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// All rules are kept.
+    /// No rule is broken.
     None,
-    /// Grants are spent before the store confirmed them.
+    /// Grants are spent before the store has confirmed them.
     SpendBeforeRecord,
-    /// A successor charges what is known to be spent instead of the grant.
+    /// A successor charges the tokens that are known to be spent instead of the whole grant.
     ChargeKnownSpending,
-    /// A successor ignores the records of processes between the owner and itself.
+    /// A successor ignores the grants of processes between process 0 and itself.
     IgnoreSuccessorRecords,
     /// A successor reads the grants before it creates the takeover record.
     ReadBeforeClaim,
     /// A takeover record replaces an earlier one.
     ClaimWithoutCompare,
-    /// A grant write does not require that there is no takeover record.
+    /// A write of grants does not require that its sender has not been taken over.
     WriteAfterTakeover,
-    /// A grant write does not require the version that it replaces.
+    /// A write of grants does not require that the stored version is the expected one.
     WriteWithoutCompare,
 }
 
-/// What is explored.
+/// What a search covers.
 #[derive(Clone, Copy, Debug)]
 pub struct BudgetModel {
-    /// Whether the owner may hand over in a planned stop.
+    /// Whether process 0 may stop as planned and hand over to process 1.
     pub has_handover: bool,
-    /// The rule that is left out.
+    /// The rule to break.
     pub fault: Fault,
 }
 
-/// The grants of one process in the store, with the version of the value.
+/// The grants of one process in the store, with the version of the value. The version is 0
+/// before the first write.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(super) struct Stored {
     pub(super) version: u8,
     pub(super) record: Option<Rc<BudgetRecord>>,
 }
 
-/// A grant write under way.
+/// A write of grants that is under way.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct Write {
     pub(super) by: usize,
@@ -67,46 +68,65 @@
     pub(super) record: Rc<BudgetRecord>,
 }
 
+/// State of one process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct Process {
     pub(super) programs: Programs,
+    /// The takeover records that the process has read.
     pub(super) takeovers: Takeovers,
-    /// The write that was not answered yet.
+    /// The record of the write whose result is not known yet.
     pub(super) pending: Option<Rc<BudgetRecord>>,
-    /// The version of the own record that the next write replaces.
+    /// The version of the own record as it was read last, which the next write expects.
     pub(super) known_version: u8,
     pub(super) spent_tokens: u64,
-    /// Grants that were read before a claim, for the fault.
-    pub(super) early: Option<Vec<Stored>>,
+    /// The stored grants as they were before a claim. Only with [`Fault::ReadBeforeClaim`].
+    pub(super) grants_before_claim: Option<Vec<Stored>>,
 }
 
-/// One state.
+/// State of the whole system.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct State {
     pub(super) processes: Vec<Rc<Process>>,
+    /// The grants in the store, by process.
     pub(super) stored: Vec<Stored>,
+    /// The takeover records in the store: the successor of each process.
     pub(super) successors: Vec<Option<usize>>,
-    /// Writes under way. Stays until the write can have no effect.
+    /// Writes under way. A write is removed only once it can have no effect any more, so that
+    /// it may be applied twice.
     pub(super) writes: Vec<Write>,
     /// The handover and its receiver.
     pub(super) handover: Option<(usize, Rc<Handover>)>,
 }
 
-/// Leaves out most of programs and records, which are slow to hash.
+/// Leaves out most parts of programs and records, which are slow to hash.
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        for one in &self.processes {
-            (one.known_version, one.spent_tokens, one.pending.is_some()).hash(state);
-            let account = one.programs.account(ProgramId(1));
+        for process_state in &self.processes {
+            (
+                process_state.known_version,
+                process_state.spent_tokens,
+                process_state.pending.is_some(),
+            )
+                .hash(state);
+            let account = process_state.programs.account(ProgramId(1));
             let grant =
                 account.map(|account| (account.granted_tokens, account.wanted_tokens));
-            (grant, one.early.is_some(), &one.takeovers).hash(state);
+            (
+                grant,
+                process_state.grants_before_claim.is_some(),
+                &process_state.takeovers,
+            )
+                .hash(state);
         }
-        for one in &self.stored {
-            (one.version, one.record.as_ref().map(|record| &record.live)).hash(state);
+        for stored in &self.stored {
+            (
+                stored.version,
+                stored.record.as_ref().map(|record| &record.live),
+            )
+                .hash(state);
         }
-        for one in &self.writes {
-            (one.by, one.expected_version, &one.record.live).hash(state);
+        for write in &self.writes {
+            (write.by, write.expected_version, &write.record.live).hash(state);
         }
         (&self.successors, self.handover.is_some()).hash(state);
     }
@@ -123,7 +143,10 @@
         parent: None,
         now_unix_s: 0,
     };
-    let token = programs.open(0, request).expect("a valid request").token;
+    let token = programs
+        .open(0, request)
+        .expect("the request is valid")
+        .token;
     (programs, token)
 });
 
@@ -154,7 +177,7 @@
                 pending: None,
                 known_version: 0,
                 spent_tokens: 0,
-                early: None,
+                grants_before_claim: None,
             })
             .map(Rc::new)
             .collect();
@@ -199,8 +222,13 @@
     }
 
     fn violation(&self, state: &State) -> Option<&'static str> {
-        let spent_tokens: u64 = state.processes.iter().map(|one| one.spent_tokens).sum();
-        (spent_tokens > BUDGET_TOKENS).then_some("more than the budget was spent")
+        let spent_tokens: u64 = state
+            .processes
+            .iter()
+            .map(|process_state| process_state.spent_tokens)
+            .sum();
+        (spent_tokens > BUDGET_TOKENS)
+            .then_some("the processes spent more than the budget")
     }
 }
 
@@ -209,12 +237,13 @@
         Rc::make_mut(&mut self.processes[at])
     }
 
-    /// Creates the takeover record if the keys that must be absent are.
+    /// Creates the record that `by` takes over from `of`, unless one of the keys that must be
+    /// absent exists. Returns whether the record was created.
     pub(super) fn apply_claim(&mut self, of: usize, by: usize, fault: Fault) -> bool {
         let keys = claim_requires_absent(&incarnation(of), &incarnation(by));
-        let mut known = self.successors.iter().enumerate();
-        let exists = known.any(|(one, by)| {
-            by.is_some() && keys.contains(&takeover_key(&incarnation(one)))
+        let mut records = self.successors.iter().enumerate();
+        let exists = records.any(|(predecessor, successor)| {
+            successor.is_some() && keys.contains(&takeover_key(&incarnation(predecessor)))
         });
         let is_applied = !exists || fault == Fault::ClaimWithoutCompare;
         if is_applied {
@@ -232,15 +261,18 @@
         }
     }
 
+    /// Whether the conditions of a write hold.
     fn accepts(&self, write: &Write, fault: Fault) -> bool {
-        let is_same = self.stored[write.by].record.as_ref() == Some(&write.record);
+        let is_stored_already =
+            self.stored[write.by].record.as_ref() == Some(&write.record);
         let is_current = self.stored[write.by].version == write.expected_version
-            || (fault == Fault::WriteWithoutCompare && !is_same);
-        let is_owner = self.successors[write.by].is_none();
-        is_current && (is_owner || fault == Fault::WriteAfterTakeover)
+            || (fault == Fault::WriteWithoutCompare && !is_stored_already);
+        let is_not_taken_over = self.successors[write.by].is_none();
+        is_current && (is_not_taken_over || fault == Fault::WriteAfterTakeover)
     }
 
-    pub(super) fn records(&self) -> Vec<(usize, TakeoverRecord)> {
+    /// The takeover records in the store.
+    pub(super) fn takeover_records(&self) -> Vec<(usize, TakeoverRecord)> {
         takeover_records(&self.successors)
     }
 
@@ -253,11 +285,11 @@
         self.writes = writes;
     }
 
-    /// Adds a write unless an equal one is under way.
+    /// Sends a write to the store, unless an equal one is under way.
     pub(super) fn send_write(&mut self, write: Write) {
         if !self.writes.contains(&write) {
             self.writes.push(write);
-            let key = |one: &Write| (one.by, one.expected_version);
+            let key = |write: &Write| (write.by, write.expected_version);
             self.writes.sort_by_key(key);
         }
     }
--- a/crates/spec/src/ownership_calls.rs
+++ b/crates/spec/src/ownership_calls.rs
@@ -1,22 +1,32 @@
-//! At-most-once execution, truth of "not run", and order of the calls of one program.
+//! Model of the calls of one program while ownership of the program moves.
 //!
-//! The program belongs to process 0. The product's own `decide`, `Takeovers` and `Programs`
-//! make all decisions. The environment may, at any step: delay and reorder requests; mislead
-//! any process about the liveness of any other; let any registration lapse although its
-//! process lives; pause a process between decision and dispatch, within the dispatch
-//! deadline or beyond it; break a forwarded call before or after it was sent; break the
-//! connection to the endpoint before, during or after the run; crash the first process with
-//! requests at the endpoint that still run, and start another one under its name; deliver the
-//! handover of a planned stop late, twice or never; keep any
-//! process from reading the takeover records; and let the caller give up and repeat.
+//! It checks that a non-repeatable call runs at most once, that a call which was refused as
+//! "not run" never runs, and that calls run in order.
 //!
-//! Some events need no step of their own, because another order of the steps has the same
-//! effect: a crash without restart, a pause, a partition or a lost message is a process or
-//! message without further steps; a delayed claim is one made later; an answer that is
-//! delayed is a later repeat, and one that is lost is a caller that gave up before.
+//! Process 0 opened the program. All decisions are made by `decide`, `Takeovers` and
+//! `Programs` of `jayreel-programs`. The model adds the failures, any of which may occur at
+//! any step:
 //!
-//! Bounded: the number of processes (2 or 3), one or two calls in the script, and the
-//! number of requests that the caller sends. The program has no sub-agents and costs no tokens.
+//! - Requests are delayed and reordered.
+//! - A process has a wrong view of the liveness of another one, or the registration of a
+//!   running process lapses.
+//! - A process is paused between its decision on a call and the dispatch, for less or for
+//!   more than the dispatch deadline.
+//! - The connection of a forwarded call breaks before or after the call was sent.
+//! - The connection to the endpoint breaks before, during or after the run.
+//! - Process 0 crashes while its requests still run at the endpoint, and another process
+//!   starts under its name.
+//! - The handover of a planned stop arrives late, twice or never.
+//! - A process does not read the takeover records.
+//! - The caller gives up on a request and repeats the call.
+//!
+//! Some failures need no step of their own. A crash without restart, a pause, a partition
+//! and a lost message are processes or messages without further steps. A delayed claim has
+//! the effect of one that is made later. A delayed answer has the effect of a later repeat,
+//! and a lost one that of a caller that has given up before.
+//!
+//! A search is bounded to 2 or 3 processes, one or two calls, and a number of requests. The
+//! program has no sub-agents and uses no tokens.
 
 mod caller;
 mod model;
--- a/crates/spec/src/ownership_calls/caller.rs
+++ b/crates/spec/src/ownership_calls/caller.rs
@@ -1,4 +1,4 @@
-//! The caller, the network and the endpoint.
+//! Steps of the caller, of messages under way, and of the endpoint.
 
 use super::model::CallsModel;
 use super::world::{Answer, Message, Request, State};
@@ -6,8 +6,8 @@
 
 impl CallsModel {
     pub(super) fn caller_steps(&self, state: &State, steps: &mut Vec<(Step, State)>) {
-        let may_send = (state.awaited.is_none() || !self.waits)
-            && !state.has_stopped
+        let may_send = (state.awaited_request.is_none() || !self.caller_waits)
+            && !state.caller_has_stopped
             && state.action < self.actions
             && state.requests.len() < self.max_requests;
         if !may_send {
@@ -23,13 +23,13 @@
                 action: state.action,
                 epoch: state.epoch,
                 runs: 0,
-                was_not_run: false,
+                was_refused_as_not_run: false,
             });
-            next.awaited = Some(request);
+            next.awaited_request = Some(request);
             next.messages.insert(Message::Call {
                 request,
                 at,
-                via: None,
+                forwarder: None,
             });
             steps.push((Step::new("caller sends", at, request), next));
         }
@@ -43,10 +43,14 @@
     ) {
         let mut next = state.clone();
         match message {
-            Message::Call { request, at, via } => {
+            Message::Call {
+                request,
+                at,
+                forwarder,
+            } => {
                 next.messages.remove(&message);
                 if next.processes[at].is_running {
-                    self.receive(&next, request, at, via, steps);
+                    self.receive(&next, request, at, forwarder, steps);
                 }
             }
             Message::Handover => {
@@ -56,44 +60,47 @@
             Message::Endpoint { request, by } => {
                 next.messages.remove(&message);
                 next.run(request);
-                self.finish(&mut next, by, request);
+                self.on_endpoint_answer(&mut next, by, request);
                 steps.push((Step::new("endpoint runs", by, request), next));
             }
         }
     }
 
+    /// The caller receives an answer. It ignores answers to all but its newest request.
     fn deliver_answer(&self, state: &mut State, request: usize, answer: Answer) {
-        if state.awaited != Some(request) {
+        if state.awaited_request != Some(request) {
             return;
         }
-        state.awaited = None;
+        state.awaited_request = None;
         match answer {
             Answer::Done => {
                 state.action += 1;
             }
             Answer::NotRun => {}
             Answer::Unknown(Some(epoch)) => state.epoch = Some(epoch),
-            // A waiting caller has no way to find out and stops.
-            Answer::Unknown(None) => state.has_stopped = self.waits,
+            // A caller that waits for each answer cannot find out the outcome, and stops.
+            Answer::Unknown(None) => state.caller_has_stopped = self.caller_waits,
         }
     }
 
-    /// Sends an answer to the caller, or to the instance that forwarded the call.
+    /// Sends an answer to the caller, or to the instance that forwarded the call if there is
+    /// one. That instance passes the answer on unless its connection broke before.
     pub(super) fn answer(
         &self,
         state: &mut State,
         request: usize,
-        via: Option<usize>,
+        forwarder: Option<usize>,
         answer: Answer,
     ) {
-        match via {
-            Some(to) if state.release_forwarded(to, request) => {
+        match forwarder {
+            Some(to) if state.remove_pending_call(to, request) => {
                 self.answer(state, request, None, answer);
             }
-            // The forwarding broke before.
+            // The connection of the forwarding instance broke before.
             Some(_) => {}
             None => {
-                state.requests[request].was_not_run |= answer == Answer::NotRun;
+                state.requests[request].was_refused_as_not_run |=
+                    answer == Answer::NotRun;
                 self.deliver_answer(state, request, answer);
             }
         }
@@ -101,18 +108,19 @@
 }
 
 impl State {
+    /// The endpoint runs a request.
     fn run(&mut self, request: usize) {
         let action = self.requests[request].action;
         self.requests[request].runs += 1;
-        self.is_out_of_order |= action < self.last_run;
-        self.last_run = self.last_run.max(action);
+        self.is_out_of_order |= action < self.highest_run_action;
+        self.highest_run_action = self.highest_run_action.max(action);
     }
 
-    /// Ends the forwarding of a call, unless it was given up.
-    pub(super) fn release_forwarded(&mut self, at: usize, request: usize) -> bool {
-        let held = &mut self.process(at).held;
-        let before = held.len();
-        held.retain(|one| one.request != request);
-        held.len() < before
+    /// Removes a pending call. Returns false if the process has none for this request.
+    pub(super) fn remove_pending_call(&mut self, at: usize, request: usize) -> bool {
+        let pending_calls = &mut self.process(at).pending_calls;
+        let count_before = pending_calls.len();
+        pending_calls.retain(|call| call.request != request);
+        pending_calls.len() < count_before
     }
 }
--- a/crates/spec/src/ownership_calls/model.rs
+++ b/crates/spec/src/ownership_calls/model.rs
@@ -1,29 +1,30 @@
-//! What is explored.
+//! Bounds, seeded faults and properties of the model.
 
-/// A rule that is left out.
+/// A protocol rule to break, to show that the search finds the resulting violation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// All rules are kept.
+    /// No rule is broken.
     None,
-    /// A successor ignores which epoch a call names.
+    /// A process admits a call as if it named the epoch of this process.
     NoEpochCheck,
-    /// A forwarding instance sends a call again after it may have been sent.
+    /// A forwarding instance sends a call to other instances although it may have been sent
+    /// before.
     RetryAfterSending,
-    /// A call that broke off after it was sent is reported as not run.
+    /// A call whose connection broke after it was sent is reported as not run.
     NotRunAfterSending,
-    /// A process that was paused beyond the dispatch deadline reports the call as not run,
-    /// and dispatches it nevertheless.
+    /// A process that was paused beyond the dispatch deadline reports the call as not run but
+    /// dispatches it.
     DispatchAfterDeadline,
-    /// A handover replaces what the successor did since it took over.
+    /// A handover replaces the state that the successor has built up since its takeover.
     HandoverReplaces,
     /// A call whose outcome is unknown is treated as one that did not run.
     ForgetUnknown,
 }
 
-/// What must hold in every state.
+/// A safety property.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Property {
-    /// A non-repeatable request runs at most once under the epoch that it names.
+    /// A non-repeatable call runs at most once under the epoch that it names.
     AtMostOnce,
     /// A request that was refused as not run never runs.
     NotRun,
@@ -31,27 +32,28 @@
     Order,
 }
 
-/// What is explored.
+/// What a search covers.
 #[derive(Clone, Copy, Debug)]
 pub struct CallsModel {
-    /// Processes; the third is a restart of the first.
+    /// Number of processes. The third is a restart of the first.
     pub processes: usize,
-    /// Calls in the caller's script.
+    /// Number of actions of the caller. Each action is one call, which may take several
+    /// requests.
     pub actions: usize,
-    /// Requests that the caller may send.
+    /// Number of requests that the caller may send.
     pub max_requests: usize,
-    /// Whether the calls are repeatable, such as model calls.
+    /// Whether the calls may run more than once, such as calls to a language model.
     pub repeatable: bool,
-    /// Whether the calls name their turn.
-    pub turns: bool,
+    /// Whether each call names its turn.
+    pub names_turns: bool,
     /// Whether the calls carry an idempotency key.
-    pub keyed: bool,
+    pub has_idempotency_key: bool,
     /// Whether the caller waits for each answer. Otherwise it may give up and repeat.
-    pub waits: bool,
-    /// Whether the owner may hand over to process 1 in a planned stop.
+    pub caller_waits: bool,
+    /// Whether process 0 may stop as planned and hand over to process 1.
     pub has_handover: bool,
-    /// The rule that is left out.
+    /// The rule to break.
     pub fault: Fault,
-    /// The property to check, or all.
+    /// The only property to check. All are checked if absent.
     pub property: Option<Property>,
 }
--- a/crates/spec/src/ownership_calls/process.rs
+++ b/crates/spec/src/ownership_calls/process.rs
@@ -1,4 +1,4 @@
-//! What the processes do.
+//! Steps of the processes.
 
 use std::rc::Rc;
 
@@ -10,16 +10,17 @@
 };
 
 use super::model::{CallsModel, Fault};
-use super::world::{Answer, Held, Message, Stage, State};
+use super::world::{Answer, Message, PendingCall, Stage, State};
 use crate::ownership::{Step, incarnation, process};
 
+/// How long a registration must have been absent before the process is taken over.
 pub(super) const TAKEOVER_DELAY_MS: u64 = 5_000;
 
-/// What a process believes of all others. Any belief may be wrong, and the registration of
-/// any process may have lapsed.
-pub(super) struct Belief(pub(super) OwnerLiveness);
+/// The view that a process has of the liveness of all others, which may be wrong. All
+/// registrations count as absent for long enough for a takeover.
+pub(super) struct FixedLiveness(pub(super) OwnerLiveness);
 
-impl OwnerLookup for Belief {
+impl OwnerLookup for FixedLiveness {
     fn owner(&self, _incarnation: &Incarnation) -> OwnerStatus {
         OwnerStatus {
             liveness: self.0,
@@ -29,43 +30,44 @@
 }
 
 impl CallsModel {
-    /// A call arrives. There is one step for each belief about its owner.
+    /// A call arrives at process `at`. There is one step for each view of the owner's liveness.
     pub(super) fn receive(
         &self,
         state: &State,
         request: usize,
         at: usize,
-        via: Option<usize>,
+        forwarder: Option<usize>,
         steps: &mut Vec<(Step, State)>,
     ) {
         for liveness in [OwnerLiveness::Alive, OwnerLiveness::Dead] {
-            let belief = Belief(liveness);
+            let owners = FixedLiveness(liveness);
             let own = incarnation(at);
             let view = OwnershipView {
                 own: &own,
                 takeovers: &state.processes[at].takeovers,
-                owners: &belief,
+                owners: &owners,
                 takeover_delay_ms: TAKEOVER_DELAY_MS,
             };
             let mut next = state.clone();
-            match decide(view, &incarnation(0), via.is_some()) {
+            match decide(view, &incarnation(0), forwarder.is_some()) {
                 Decision::Serve => {
-                    self.serve(&mut next, request, at, via);
+                    self.serve(&mut next, request, at, forwarder);
                     steps.push((Step::new("serve", at, request), next));
                     return;
                 }
                 Decision::Forward { to } => {
                     self.forward(state, request, at, process(&to), steps);
                 }
-                // Claims are steps of their own, and the caller asks again.
+                // A claim is a separate step. The caller has to repeat the call after it.
                 Decision::ClaimTakeover { .. } | Decision::Refuse(_) => {
-                    self.answer(&mut next, request, via, Answer::NotRun);
+                    self.answer(&mut next, request, forwarder, Answer::NotRun);
                     steps.push((Step::new("refuse", at, request), next));
                 }
             }
         }
     }
 
+    /// Forwards a call to `to`, or refuses it if there is no connection.
     fn forward(
         &self,
         state: &State,
@@ -78,104 +80,124 @@
         self.answer(&mut next, request, None, Answer::NotRun);
         steps.push((Step::new("cannot connect", at, request), next));
         let mut next = state.clone();
-        next.process(at).held.insert(Held {
+        next.process(at).pending_calls.insert(PendingCall {
             request,
             stage: Stage::Forwarded,
-            via: None,
+            forwarder: None,
             was_retried: false,
         });
         next.messages.insert(Message::Call {
             request,
             at: to,
-            via: Some(at),
+            forwarder: Some(at),
         });
         steps.push((Step::new("forward", at, request), next));
     }
 
-    fn serve(&self, state: &mut State, request: usize, at: usize, via: Option<usize>) {
-        let facts = self.facts(state, request, at);
+    /// The responsible process admits a call.
+    fn serve(
+        &self,
+        state: &mut State,
+        request: usize,
+        at: usize,
+        forwarder: Option<usize>,
+    ) {
+        let params = self.params(state, request, at);
         let programs = Rc::make_mut(&mut state.process(at).programs);
         let admission = match programs.resolve(0, self.token(), &Profile::default()) {
-            Ok(program) => programs.admit(0, program, facts),
+            Ok(program) => programs.admit(0, program, params),
             Err(refusal) => Admission::Refuse(refusal),
         };
-        let held = Held {
+        let call = PendingCall {
             request,
             stage: Stage::Waiting,
-            via,
+            forwarder,
             was_retried: false,
         };
-        state.process(at).held.insert(held);
+        state.process(at).pending_calls.insert(call);
         self.resolve(state, at, request, admission);
     }
 
-    fn facts(&self, state: &State, request: usize, at: usize) -> CallParams {
-        let one = state.requests[request];
+    /// The call as the product sees it.
+    fn params(&self, state: &State, request: usize, at: usize) -> CallParams {
+        let sent_request = state.requests[request];
         let epoch = match self.fault {
             Fault::NoEpochCheck => Some(at),
-            _ => one.epoch,
+            _ => sent_request.epoch,
         };
         CallParams {
             request_id: RequestId(request as u64),
             repeatable: self.repeatable,
-            turn: u32::try_from(one.action).ok().filter(|_| self.turns),
+            turn: u32::try_from(sent_request.action)
+                .ok()
+                .filter(|_| self.names_turns),
             epoch: epoch.map(incarnation),
-            idempotency_key: self.keyed.then(|| format!("action-{}", one.action)),
+            idempotency_key: self
+                .has_idempotency_key
+                .then(|| format!("action-{}", sent_request.action)),
             prompt_bound_tokens: 0,
             max_tokens: 0,
         }
     }
 
-    /// Acts on the answer to a call that is held.
+    /// Applies the admission decision on a pending call.
     fn resolve(&self, state: &mut State, at: usize, request: usize, answer: Admission) {
-        let held = state.processes[at].held.iter();
-        let Some(held) = held.copied().find(|one| one.request == request) else {
+        let mut pending_calls = state.processes[at].pending_calls.iter().copied();
+        let Some(call) = pending_calls.find(|call| call.request == request) else {
             return;
         };
         match answer {
-            Admission::Run { .. } => state.set_stage(at, held, Stage::Decided),
+            Admission::Run { .. } => state.set_stage(at, call, Stage::Admitted),
             Admission::Wait => {}
-            Admission::NeedsGrant => unreachable!("the calls cost no tokens"),
+            Admission::NeedsGrant => unreachable!("calls in this model use no tokens"),
             Admission::Refuse(refusal) => {
-                state.process(at).held.remove(&held);
+                state.process(at).pending_calls.remove(&call);
                 let answer = match refusal.ran {
                     Ran::No => Answer::NotRun,
                     Ran::Yes => Answer::Done,
                     Ran::Unknown => Answer::Unknown(Some(at)),
                 };
-                self.answer(state, request, held.via, answer);
+                self.answer(state, request, call.forwarder, answer);
             }
         }
     }
 
-    pub(super) fn follow(
+    /// Applies the decisions on deferred calls that a change of the program has caused.
+    pub(super) fn apply_effects(
         &self,
         state: &mut State,
         at: usize,
-        transition: ProgramEffects,
+        effects: ProgramEffects,
     ) {
         for DeferredAdmission {
             request_id,
             admission,
-        } in transition.resolved
+        } in effects.resolved
         {
-            let request = usize::try_from(request_id.0).expect("a small number");
+            let request =
+                usize::try_from(request_id.0).expect("request numbers are small");
             self.resolve(state, at, request, admission);
         }
     }
 
-    /// The endpoint's answer arrives.
-    pub(super) fn finish(&self, state: &mut State, at: usize, request: usize) {
-        let held = state.processes[at].held.iter();
-        let sent = |one: &Held| one.request == request && one.stage == Stage::Sent;
-        let Some(held) = held.copied().find(sent) else {
+    /// The answer of the endpoint arrives.
+    pub(super) fn on_endpoint_answer(
+        &self,
+        state: &mut State,
+        at: usize,
+        request: usize,
+    ) {
+        let mut pending_calls = state.processes[at].pending_calls.iter().copied();
+        let is_sent =
+            |call: &PendingCall| call.request == request && call.stage == Stage::Sent;
+        let Some(call) = pending_calls.find(is_sent) else {
             return;
         };
-        state.process(at).held.remove(&held);
-        self.answer(state, request, held.via, Answer::Done);
+        state.process(at).pending_calls.remove(&call);
+        self.answer(state, request, call.forwarder, Answer::Done);
         let programs = Rc::make_mut(&mut state.process(at).programs);
-        let transition = programs.finish(0, RequestId(request as u64), None);
-        self.follow(state, at, transition);
+        let effects = programs.finish(0, RequestId(request as u64), None);
+        self.apply_effects(state, at, effects);
     }
 
     pub(super) fn process_steps(
@@ -184,109 +206,113 @@
         at: usize,
         steps: &mut Vec<(Step, State)>,
     ) {
-        self.read_records(state, at, steps);
+        self.read_takeover_records(state, at, steps);
         self.claim(state, at, steps);
         if self.has_handover && at == 0 {
             self.hand_over(state, steps);
         }
-        for held in &state.processes[at].held {
-            match held.stage {
+        for call in &state.processes[at].pending_calls {
+            match call.stage {
                 Stage::Waiting => {}
-                Stage::Decided => self.dispatch(state, at, *held, steps),
-                Stage::Sent => self.lose_result(state, at, *held, steps),
-                Stage::Forwarded => self.break_forward(state, at, *held, steps),
+                Stage::Admitted => self.dispatch(state, at, *call, steps),
+                Stage::Sent => self.break_endpoint_connection(state, at, *call, steps),
+                Stage::Forwarded => self.break_forwarded_call(state, at, *call, steps),
             }
         }
     }
 
+    /// Dispatches an admitted call, or refuses it after the dispatch deadline.
     fn dispatch(
         &self,
         state: &State,
         at: usize,
-        held: Held,
+        call: PendingCall,
         steps: &mut Vec<(Step, State)>,
     ) {
-        let request = held.request;
+        let request = call.request;
         let endpoint = Message::Endpoint { request, by: at };
         let mut next = state.clone();
-        next.set_stage(at, held, Stage::Sent);
+        next.set_stage(at, call, Stage::Sent);
         next.messages.insert(endpoint);
         steps.push((Step::new("dispatch", at, request), next));
         let mut next = state.clone();
-        next.process(at).held.remove(&held);
+        next.process(at).pending_calls.remove(&call);
         if self.fault == Fault::DispatchAfterDeadline {
             next.messages.insert(endpoint);
         }
-        self.answer(&mut next, request, held.via, Answer::NotRun);
-        self.fail(&mut next, at, request, Ran::No);
+        self.answer(&mut next, request, call.forwarder, Answer::NotRun);
+        self.fail_call(&mut next, at, request, Ran::No);
         steps.push((Step::new("too late to dispatch", at, request), next));
     }
 
-    fn lose_result(
+    /// The connection to the endpoint breaks, so that the outcome of the call is unknown.
+    fn break_endpoint_connection(
         &self,
         state: &State,
         at: usize,
-        held: Held,
+        call: PendingCall,
         steps: &mut Vec<(Step, State)>,
     ) {
-        let request = held.request;
+        let request = call.request;
         let mut next = state.clone();
-        next.process(at).held.remove(&held);
-        self.answer(&mut next, request, held.via, Answer::Unknown(None));
+        next.process(at).pending_calls.remove(&call);
+        self.answer(&mut next, request, call.forwarder, Answer::Unknown(None));
         let ran = match self.fault {
             Fault::ForgetUnknown => Ran::No,
             _ => Ran::Unknown,
         };
-        self.fail(&mut next, at, request, ran);
+        self.fail_call(&mut next, at, request, ran);
         steps.push((Step::new("endpoint connection breaks", at, request), next));
     }
 
-    fn break_forward(
+    /// The connection to the process to which a call was forwarded breaks.
+    fn break_forwarded_call(
         &self,
         state: &State,
         at: usize,
-        held: Held,
+        call: PendingCall,
         steps: &mut Vec<(Step, State)>,
     ) {
-        let request = held.request;
+        let request = call.request;
         let mut next = state.clone();
-        next.process(at).held.remove(&held);
+        next.process(at).pending_calls.remove(&call);
         let answer = match self.fault {
             Fault::NotRunAfterSending => Answer::NotRun,
             _ => Answer::Unknown(None),
         };
         self.answer(&mut next, request, None, answer);
         steps.push((Step::new("forwarding breaks", at, request), next));
-        if self.fault != Fault::RetryAfterSending || held.was_retried {
+        if self.fault != Fault::RetryAfterSending || call.was_retried {
             return;
         }
         let mut next = state.clone();
-        next.process(at).held.remove(&held);
-        next.process(at).held.insert(Held {
+        next.process(at).pending_calls.remove(&call);
+        next.process(at).pending_calls.insert(PendingCall {
             was_retried: true,
-            ..held
+            ..call
         });
         for to in (0..self.processes).filter(|to| *to != at) {
             next.messages.insert(Message::Call {
                 request,
                 at: to,
-                via: Some(at),
+                forwarder: Some(at),
             });
         }
         steps.push((Step::new("forward again", at, request), next));
     }
 
-    fn fail(&self, state: &mut State, at: usize, request: usize, ran: Ran) {
+    fn fail_call(&self, state: &mut State, at: usize, request: usize, ran: Ran) {
         let programs = Rc::make_mut(&mut state.process(at).programs);
-        let transition = programs.fail(0, RequestId(request as u64), ran);
-        self.follow(state, at, transition);
+        let effects = programs.fail(0, RequestId(request as u64), ran);
+        self.apply_effects(state, at, effects);
     }
 }
 
 impl State {
-    fn set_stage(&mut self, at: usize, held: Held, stage: Stage) {
-        let all = &mut self.process(at).held;
-        all.remove(&held);
-        all.insert(Held { stage, ..held });
+    /// Moves a pending call to another stage.
+    fn set_stage(&mut self, at: usize, call: PendingCall, stage: Stage) {
+        let pending_calls = &mut self.process(at).pending_calls;
+        pending_calls.remove(&call);
+        pending_calls.insert(PendingCall { stage, ..call });
     }
 }
--- a/crates/spec/src/ownership_calls/takeover.rs
+++ b/crates/spec/src/ownership_calls/takeover.rs
@@ -1,4 +1,4 @@
-//! Takeover records, handover and restart.
+//! Steps of takeover, handover and restart.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -7,46 +7,49 @@
 use jayreel_programs::{Decision, Handover, OwnerLiveness, OwnershipView, Takeovers};
 
 use super::model::{CallsModel, Fault};
-use super::process::{Belief, TAKEOVER_DELAY_MS};
+use super::process::{FixedLiveness, TAKEOVER_DELAY_MS};
 use super::world::{Message, Process, State};
 use crate::ownership::{Step, incarnation, process};
 
 impl CallsModel {
-    pub(super) fn read_records(
+    /// Process `at` reads the takeover records, adopts the programs of its predecessors, and
+    /// stops serving if it was taken over itself.
+    pub(super) fn read_takeover_records(
         &self,
         state: &State,
         at: usize,
         steps: &mut Vec<(Step, State)>,
     ) {
         let own = incarnation(at);
-        let records = state.records();
+        let records = state.takeover_records();
         let known = &state.processes[at].takeovers;
         let is_new = |of: usize| known.successor(&incarnation(of)).is_none();
         if !records.iter().any(|(of, _)| is_new(*of)) {
             return;
         }
         let mut next = state.clone();
-        let one = next.process(at);
+        let reader = next.process(at);
         for (of, record) in records {
-            one.takeovers.learn(incarnation(of), &record);
+            reader.takeovers.learn(incarnation(of), &record);
         }
-        for predecessor in one.takeovers.predecessors(&own) {
-            Rc::make_mut(&mut one.programs).adopt(predecessor, None);
+        for predecessor in reader.takeovers.predecessors(&own) {
+            Rc::make_mut(&mut reader.programs).adopt(predecessor, None);
         }
-        if one.takeovers.successor(&own).is_some() {
-            let transition = Rc::make_mut(&mut one.programs).supersede();
-            self.follow(&mut next, at, transition);
+        if reader.takeovers.successor(&own).is_some() {
+            let effects = Rc::make_mut(&mut reader.programs).supersede();
+            self.apply_effects(&mut next, at, effects);
         }
         steps.push((Step::new("read records", at, 0), next));
     }
 
-    /// Claims, and the store applies it. A delayed claim is one that is made later.
+    /// Process `at` claims the takeover of the responsible process, and the store applies the
+    /// claim at once. A delayed claim has the effect of one that is made later.
     pub(super) fn claim(&self, state: &State, at: usize, steps: &mut Vec<(Step, State)>) {
         let own = incarnation(at);
         let view = OwnershipView {
             own: &own,
             takeovers: &state.processes[at].takeovers,
-            owners: &Belief(OwnerLiveness::Dead),
+            owners: &FixedLiveness(OwnerLiveness::Dead),
             takeover_delay_ms: TAKEOVER_DELAY_MS,
         };
         if let Decision::ClaimTakeover { of } = decide(view, &incarnation(0), false) {
@@ -57,8 +60,8 @@
         }
     }
 
-    /// The owner exports its programs and names process 1 as successor, in one transaction. If
-    /// another one was named before, it only stops.
+    /// Process 0 exports its programs and names process 1 as its successor in one transaction.
+    /// If it has a successor already, it only stops.
     pub(super) fn hand_over(&self, state: &State, steps: &mut Vec<(Step, State)>) {
         let mut next = state.clone();
         let exported = Rc::make_mut(&mut next.process(0).programs).export();
@@ -72,6 +75,7 @@
         }
     }
 
+    /// Process 1 imports the handover.
     pub(super) fn import(&self, state: &mut State) {
         let Some(handover) = state.handover.clone() else {
             return;
@@ -84,7 +88,7 @@
         Rc::make_mut(programs).import(0, Handover::clone(&handover));
     }
 
-    /// The first process crashes, and another one starts under its name.
+    /// Process 0 crashes, and process 2 starts under its name.
     pub(super) fn restart(&self, state: &State, steps: &mut Vec<(Step, State)>) {
         if self.processes < 3 || state.processes[2].is_running {
             return;
@@ -94,7 +98,7 @@
             is_running: false,
             programs: self.programs(0),
             takeovers: Takeovers::default(),
-            held: BTreeSet::new(),
+            pending_calls: BTreeSet::new(),
         };
         next.process(2).is_running = true;
         steps.push((Step::new("restart", 2, 0), next));
--- a/crates/spec/src/ownership_calls/world.rs
+++ b/crates/spec/src/ownership_calls/world.rs
@@ -1,4 +1,4 @@
-//! States and steps.
+//! State of the whole system, and the implementation of the model.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -13,86 +13,109 @@
 use super::model::{CallsModel, Property};
 use crate::ownership::{Model, Step, incarnation, takeover_records};
 
-/// What a caller is told.
+/// Answer to a request.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(super) enum Answer {
+    /// The call ran.
     Done,
+    /// The call was refused and did not run.
     NotRun,
-    /// The process that a repeat may name.
+    /// It is unknown whether the call ran. Holds the process whose epoch a repeat may name, if
+    /// the answer tells it.
     Unknown(Option<usize>),
 }
 
-/// Something under way.
+/// A message under way.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(super) enum Message {
-    /// A request for an instance.
+    /// A request to process `at`, from the caller or from the forwarding process `forwarder`.
     Call {
         request: usize,
         at: usize,
-        via: Option<usize>,
+        forwarder: Option<usize>,
     },
-    /// The records of the owner. Stays, so that it may arrive again.
+    /// The handover from process 0 to process 1. It is not removed when it arrives, so that it
+    /// may arrive again.
     Handover,
-    /// A request that the endpoint will run if it arrives.
+    /// A request from process `by` that the endpoint runs when it arrives.
     Endpoint { request: usize, by: usize },
 }
 
-/// Where a call at a process is.
+/// Stage of a call at a process.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(super) enum Stage {
+    /// Waits for its admission.
     Waiting,
-    Decided,
+    /// Admitted and not dispatched yet.
+    Admitted,
+    /// Sent to the endpoint.
     Sent,
+    /// Forwarded to another process.
     Forwarded,
 }
 
+/// A call that a process has not answered yet.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub(super) struct Held {
+pub(super) struct PendingCall {
     pub(super) request: usize,
     pub(super) stage: Stage,
-    pub(super) via: Option<usize>,
+    /// The process that forwarded the call to this one.
+    pub(super) forwarder: Option<usize>,
+    /// Whether it was forwarded again. Only with [`Fault::RetryAfterSending`].
+    ///
+    /// [`Fault::RetryAfterSending`]: super::Fault::RetryAfterSending
     pub(super) was_retried: bool,
 }
 
+/// State of one process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct Process {
     pub(super) is_running: bool,
     pub(super) programs: Rc<Programs>,
+    /// The takeover records that the process has read.
     pub(super) takeovers: Takeovers,
-    pub(super) held: BTreeSet<Held>,
+    pub(super) pending_calls: BTreeSet<PendingCall>,
 }
 
-/// One request that the caller sent.
+/// A request that the caller has sent.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub(super) struct Request {
     pub(super) action: usize,
+    /// The process whose epoch the request names. Without it, process 0 is meant.
     pub(super) epoch: Option<usize>,
+    /// How many times the endpoint has run the request.
     pub(super) runs: u8,
-    pub(super) was_not_run: bool,
+    /// Whether the caller was told that the request did not run.
+    pub(super) was_refused_as_not_run: bool,
 }
 
-/// One state.
+/// State of the whole system.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct State {
     pub(super) processes: Vec<Rc<Process>>,
+    /// The takeover records in the store: the successor of each process.
     pub(super) successors: Vec<Option<usize>>,
     pub(super) messages: BTreeSet<Message>,
     pub(super) requests: Vec<Request>,
-    /// The action that the caller works on.
+    /// The next action of the caller that is not done.
     pub(super) action: usize,
-    /// The epoch that the caller names.
+    /// The process whose epoch the caller names in new requests.
     pub(super) epoch: Option<usize>,
-    pub(super) awaited: Option<usize>,
-    pub(super) has_stopped: bool,
-    /// What the owner exported.
+    /// The newest request, while it has no answer.
+    pub(super) awaited_request: Option<usize>,
+    /// Whether the caller sends no more requests.
+    pub(super) caller_has_stopped: bool,
+    /// The handover that process 0 exported.
     pub(super) handover: Option<Rc<Handover>>,
-    /// Actions that ran so far have at most this number.
-    pub(super) last_run: usize,
+    /// Highest number of an action that ran so far.
+    pub(super) highest_run_action: usize,
+    /// Whether an action ran after a later one.
     pub(super) is_out_of_order: bool,
 }
 
 impl CallsModel {
-    /// A process without programs, or the owner with the opened program.
+    /// The initial programs of a process: process 0 has opened the program, the others have
+    /// none.
     pub(super) fn programs(&self, own: usize) -> Rc<Programs> {
         Rc::new(match own {
             0 => OPENED.0.clone(),
@@ -105,7 +128,7 @@
     }
 }
 
-/// The owner after it opened the program, and the program's token.
+/// The programs of process 0 after it opened the program, and the token of the program.
 static OPENED: LazyLock<(Programs, ProgramToken)> = LazyLock::new(|| {
     let mut programs = programs(0);
     let profile = Profile::default();
@@ -117,7 +140,10 @@
         parent: None,
         now_unix_s: 0,
     };
-    let token = programs.open(0, request).expect("a valid request").token;
+    let token = programs
+        .open(0, request)
+        .expect("the request is valid")
+        .token;
     (programs, token)
 });
 
@@ -129,15 +155,21 @@
     })
 }
 
-/// Leaves out programs and takeovers, which are slow to hash and follow from the rest in most
-/// states.
+/// Leaves out programs and takeover records, which are slow to hash and follow from the
+/// other fields in most states.
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        for one in &self.processes {
-            (one.is_running, &one.held).hash(state);
+        for process in &self.processes {
+            (process.is_running, &process.pending_calls).hash(state);
         }
         (&self.successors, &self.messages, &self.requests).hash(state);
-        (self.action, self.epoch, self.awaited, self.last_run).hash(state);
+        (
+            self.action,
+            self.epoch,
+            self.awaited_request,
+            self.highest_run_action,
+        )
+            .hash(state);
     }
 }
 
@@ -150,7 +182,7 @@
                 is_running: own < 2,
                 programs: self.programs(own),
                 takeovers: Takeovers::default(),
-                held: BTreeSet::new(),
+                pending_calls: BTreeSet::new(),
             })
             .map(Rc::new)
             .collect();
@@ -161,10 +193,10 @@
             requests: Vec::new(),
             action: 0,
             epoch: None,
-            awaited: None,
-            has_stopped: false,
+            awaited_request: None,
+            caller_has_stopped: false,
             handover: None,
-            last_run: 0,
+            highest_run_action: 0,
             is_out_of_order: false,
         }
     }
@@ -187,29 +219,31 @@
     }
 
     fn violation(&self, state: &State) -> Option<&'static str> {
-        let is_checked = |property| self.property.is_none_or(|one| one == property);
-        let is_false = state
+        let is_checked =
+            |property| self.property.is_none_or(|checked| checked == property);
+        let ran_after_refusal = state
             .requests
             .iter()
-            .any(|one| one.was_not_run && one.runs > 0);
-        if is_checked(Property::NotRun) && is_false {
+            .any(|request| request.was_refused_as_not_run && request.runs > 0);
+        if is_checked(Property::NotRun) && ran_after_refusal {
             return Some("a request that was refused as not run ran");
         }
-        if is_checked(Property::Order) && self.waits && state.is_out_of_order {
+        if is_checked(Property::Order) && self.caller_waits && state.is_out_of_order {
             return Some("an earlier call ran after a later one");
         }
-        let ran_twice = match (self.repeatable, self.keyed) {
+        let ran_twice = match (self.repeatable, self.has_idempotency_key) {
             (true, _) => false,
-            (false, false) => state.requests.iter().any(|one| one.runs > 1),
-            (false, true) => keyed_runs(state),
+            (false, false) => state.requests.iter().any(|request| request.runs > 1),
+            (false, true) => keyed_action_ran_twice(state),
         };
         (is_checked(Property::AtMostOnce) && ran_twice)
             .then_some("a non-repeatable request ran twice")
     }
 }
 
-/// Whether the same action ran twice under the same epoch.
-fn keyed_runs(state: &State) -> bool {
+/// Whether an action ran twice under the same epoch. A request without an epoch counts as one
+/// under that of process 0.
+fn keyed_action_ran_twice(state: &State) -> bool {
     state.requests.iter().any(|one| {
         let same = state.requests.iter().filter(|other| {
             other.action == one.action
@@ -224,20 +258,23 @@
         Rc::make_mut(&mut self.processes[at])
     }
 
-    /// Creates the record if the keys that must be absent are.
+    /// Creates the record that `by` takes over from `of`, unless one of the keys that must be
+    /// absent exists.
     pub(super) fn apply_claim(&mut self, of: usize, by: usize) {
         let keys = claim_requires_absent(&incarnation(of), &incarnation(by));
         let exists = |key: &String| {
-            let mut known = self.successors.iter().enumerate();
-            known.any(|(one, by)| by.is_some() && takeover_key(&incarnation(one)) == *key)
+            let mut records = self.successors.iter().enumerate();
+            records.any(|(predecessor, successor)| {
+                successor.is_some() && takeover_key(&incarnation(predecessor)) == *key
+            })
         };
         if !keys.iter().any(exists) {
             self.successors[of] = Some(by);
         }
     }
 
-    /// Removes messages that can have no effect any more, so that states that differ only in
-    /// them are one.
+    /// Removes messages that can have no effect any more, so that states which differ only in
+    /// such messages are merged.
     fn prune(&mut self) {
         let State {
             processes,
@@ -250,8 +287,8 @@
         });
     }
 
-    /// The records in the store.
-    pub(super) fn records(&self) -> Vec<(usize, TakeoverRecord)> {
+    /// The takeover records in the store.
+    pub(super) fn takeover_records(&self) -> Vec<(usize, TakeoverRecord)> {
         takeover_records(&self.successors)
     }
 }
--- a/crates/spec/tests/ownership_budget.rs
+++ b/crates/spec/tests/ownership_budget.rs
@@ -1,5 +1,7 @@
-//! Searches all interleavings of grants, takeovers and handover. `cargo test -p jayreel-spec
-//! --test ownership_budget -- --nocapture` prints states, depth, time and traces.
+//! Exhaustive searches of the budget of a program that is taken over or handed over.
+//!
+//! `cargo test -p jayreel-spec --test ownership_budget -- --nocapture` prints the number of
+//! states, the depth, the time and the traces.
 
 use jayreel_spec::ownership::explore;
 use jayreel_spec::ownership_budget::{BudgetModel, Fault};
@@ -7,7 +9,7 @@
 
 #[test_case("crashes", false)]
 #[test_case("handover", true)]
-fn the_budget_holds(name: &str, has_handover: bool) {
+fn budget_is_not_exceeded(name: &str, has_handover: bool) {
     let model = BudgetModel {
         has_handover,
         fault: Fault::None,
@@ -23,7 +25,7 @@
 #[test_case(Fault::ClaimWithoutCompare, 15)]
 #[test_case(Fault::WriteAfterTakeover, 15)]
 #[test_case(Fault::WriteWithoutCompare, 16)]
-fn a_missing_rule_is_found(fault: Fault, trace_length: usize) {
+fn seeded_fault_is_found(fault: Fault, trace_length: usize) {
     let name = format!("{fault:?}");
     let report = explore(
         &name,
@@ -32,7 +34,7 @@
             fault,
         },
     );
-    let (_, trace) = report.violation.expect("a trace");
+    let (_, trace) = report.violation.expect("the search must find the fault");
     assert_eq!(
         trace.len(),
         trace_length,
--- a/crates/spec/tests/ownership_calls.rs
+++ b/crates/spec/tests/ownership_calls.rs
@@ -1,40 +1,42 @@
-//! Searches all interleavings of the ownership protocol. `cargo test -p jayreel-spec --test
-//! ownership_calls -- --nocapture` prints states, depth, time and traces.
+//! Exhaustive searches of calls while ownership of their program moves.
+//!
+//! `cargo test -p jayreel-spec --test ownership_calls -- --nocapture` prints the number of
+//! states, the depth, the time and the traces.
 
 use jayreel_spec::ownership::explore;
 use jayreel_spec::ownership_calls::{CallsModel, Fault, Property};
 use test_case::test_case;
 
-/// A caller that repeats an action with an idempotency key.
+/// A caller that repeats non-repeatable calls with an idempotency key.
 const KEYED: CallsModel = CallsModel {
     processes: 2,
     actions: 2,
     max_requests: 3,
     repeatable: false,
-    turns: false,
-    keyed: true,
-    waits: false,
+    names_turns: false,
+    has_idempotency_key: true,
+    caller_waits: false,
     has_handover: false,
     fault: Fault::None,
     property: None,
 };
 
-/// The same without a key: each request may run once.
+/// Like [`KEYED`] without an idempotency key, so that each request may run once.
 const UNKEYED: CallsModel = CallsModel {
-    keyed: false,
+    has_idempotency_key: false,
     ..KEYED
 };
 
 /// A caller of model calls that waits for each answer.
 const WAITING: CallsModel = CallsModel {
     repeatable: true,
-    keyed: false,
-    waits: true,
+    has_idempotency_key: false,
+    caller_waits: true,
     max_requests: 3,
     ..KEYED
 };
 
-/// With a restart of the first process.
+/// Adds a restart of the first process.
 const fn restart(model: CallsModel, max_requests: usize) -> CallsModel {
     CallsModel {
         processes: 3,
@@ -43,7 +45,7 @@
     }
 }
 
-/// With one call, so that more repeats of it can be searched.
+/// Reduces the script to one call, so that more repeats of it can be searched.
 const fn one_call(model: CallsModel) -> CallsModel {
     CallsModel {
         actions: 1,
@@ -51,7 +53,7 @@
     }
 }
 
-/// With a planned stop of the owner.
+/// Adds a planned stop of process 0.
 const fn handover(model: CallsModel) -> CallsModel {
     CallsModel {
         has_handover: true,
@@ -65,11 +67,11 @@
 #[test_case("keyed_restart", restart(one_call(KEYED), 3))]
 #[test_case("unkeyed_restart", restart(one_call(UNKEYED), 3))]
 #[test_case("waiting_restart", restart(WAITING, 4))]
-#[test_case("waiting_turns_restart", restart(CallsModel { turns: true, ..WAITING }, 4))]
+#[test_case("waiting_turns_restart", restart(CallsModel { names_turns: true, ..WAITING }, 4))]
 #[test_case("keyed_handover", handover(one_call(KEYED)))]
 #[test_case("unkeyed_handover", handover(one_call(UNKEYED)))]
 #[test_case("waiting_handover", handover(WAITING))]
-fn the_properties_hold(name: &str, model: CallsModel) {
+fn no_property_is_violated(name: &str, model: CallsModel) {
     let report = explore(name, &model);
     assert_eq!(report.violation, None);
 }
@@ -83,7 +85,7 @@
 #[test_case(UNKEYED, Fault::RetryAfterSending, Property::NotRun, 8)]
 #[test_case(WAITING, Fault::NotRunAfterSending, Property::Order, 14)]
 #[test_case(WAITING, Fault::RetryAfterSending, Property::Order, 13)]
-fn a_missing_rule_is_found(
+fn seeded_fault_is_found(
     model: CallsModel,
     fault: Fault,
     property: Property,
@@ -99,7 +101,7 @@
             ..model
         },
     );
-    let (_, trace) = report.violation.expect("a trace");
+    let (_, trace) = report.violation.expect("the search must find the fault");
     assert_eq!(
         trace.len(),
         trace_length,
