--- a/crates/spec/src/ownership_keyed.rs
+++ b/crates/spec/src/ownership_keyed.rs
@@ -1,15 +1,19 @@
-//! At-most-once execution of a call with an idempotency key but without a program.
+//! Model of calls that have an idempotency key but belong to no program.
 //!
-//! Instances `a` and `b` register and leave; the product's own [`KeyedCalls`] decides who runs
-//! the one key. Time passes in ticks. In each tick each instance may or may not read the
-//! registrations, so its view may be as old as it likes; a call may arrive at either; a
-//! decided call may be dispatched later, up to the deadline; an instance may restart without
-//! memory; and the registration of `b`, to which the key belongs when it is registered, may
-//! come and go.
+//! It checks that such a call runs at most once within a time window. There are two
+//! instances, `a` and `b`, and all calls have the same key. [`KeyedCalls`] decides which
+//! instance may run a call: `b` while it is registered, otherwise `a`. In each tick:
 //!
-//! Bounded: the number of ticks, changes of the registration, calls and restarts, and the
-//! scale: the window is 3 ticks, freshness and dispatch deadline 1 tick each. Both instances
-//! begin settled. Clocks run at the same rate.
+//! - An instance may read the registrations or not, so its view may have any age.
+//! - A call may arrive at either instance.
+//! - An admitted call may be dispatched later, up to the dispatch deadline.
+//! - An instance may restart without memory.
+//! - The registration of `b` may lapse or return.
+//!
+//! A search is bounded to a number of ticks, changes of the registration, calls and restarts.
+//! The window is 3 ticks long; the longest age of a usable view and the dispatch deadline are
+//! 1 tick each. Both instances have been settled before the start, and their clocks run at
+//! the same rate.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -23,63 +27,69 @@
 use crate::intern::intern;
 use crate::ownership::{Model, Step};
 
-/// A repeat within this time after a run must not run.
+/// Length of the window: a repeat must not run within this time after a run. A tick is one
+/// millisecond.
 pub const WINDOW_MS: u64 = 3;
 
+/// Longest age at which a view of the registrations may be used.
 const FRESHNESS_MS: u64 = 1;
+/// Longest time between the admission of a call and its dispatch.
 const DISPATCH_MS: u64 = 1;
 
-/// Both instances have been settled for longer than this when the search begins.
+/// Start of the search. By then both instances have read the registrations since time 0, and
+/// are settled.
 const START_MS: u64 = 20;
 
 const CUSTOMER: &str = "acme";
 
-/// The lease of a registration at the start.
+/// Lease of the initial registrations.
 const LEASE: Option<i64> = Some(0);
 
-/// A rule that is left out.
+/// A protocol rule to break, to show that the search finds the resulting violation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// All rules are kept.
+    /// No rule is broken.
     None,
-    /// A view counts from the arrival of the answer, up to a tick after it was taken.
+    /// The age of a view is counted from the arrival of the answer, up to a tick after the
+    /// registrations were read.
     DatedAtArrival,
     /// A call is dispatched two ticks after the deadline.
     LateDispatch,
-    /// A restarted instance does not wait for the window.
+    /// A restarted instance does not wait until the window is over.
     NoWaitAfterRestart,
-    /// An instance does not notice that its own registration lapsed and returned.
+    /// An instance does not notice that its own registration has lapsed and returned.
     LeaseIgnored,
 }
 
-/// What is explored.
+/// What a search covers.
 #[derive(Clone, Copy, Debug)]
 pub struct KeyedModel {
-    /// Ticks after the start.
+    /// Number of ticks.
     pub ticks: u64,
-    /// Changes of the registration of `b`.
+    /// Number of changes of the registration of `b`.
     pub changes: u8,
-    /// Calls with the key.
+    /// Number of admitted calls.
     pub calls: u8,
-    /// Restarts.
+    /// Number of restarts.
     pub restarts: u8,
-    /// The rule that is left out.
+    /// The rule to break.
     pub fault: Fault,
 }
 
-/// The order of steps within a tick. Reads of `a` come before those of `b` unless the
-/// registration changes between them; then decisions, then runs. Other orders have the same
-/// effect, since steps of different instances commute and a view that is read after a
-/// decision does not concern it.
+/// Phase within a tick, which limits the order of steps to keep the number of states low.
+/// First come reads, those of `a` before those of `b` unless the registration changes
+/// between them; then admissions, then runs. All other orders have the same effect as one of
+/// these, since steps of different instances commute, and a view that is read after an
+/// admission does not affect it.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 enum Phase {
     Reading,
     BHasRead,
-    Deciding,
+    Admitting,
     Running,
 }
 
-/// One state.
+/// State of the whole system.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct State {
     now_ms: u64,
@@ -87,14 +97,16 @@
     /// Whether the instance has read the registrations in this tick.
     has_read: [bool; 2],
     phase: Phase,
-    is_registered: bool,
-    /// The registration of `b` at the start of the last tick and of this one, for the fault.
-    was_registered: [bool; 2],
+    /// Whether `b` is registered.
+    b_is_registered: bool,
+    /// Whether `b` was registered at the start of the last tick and of this one. Used only with
+    /// [`Fault::DatedAtArrival`].
+    b_was_registered: [bool; 2],
     changes: u8,
     calls: u8,
     restarts: u8,
-    /// Decided calls: the instance and the time of the decision.
-    decided: Vec<(usize, u64)>,
+    /// Calls that are admitted and not dispatched yet: the instance and the time of admission.
+    admitted: Vec<(usize, u64)>,
     last_run_ms: Option<u64>,
     ran_twice: bool,
 }
@@ -108,14 +120,15 @@
     })
 }
 
-/// The registered processes, with and without `b`.
+/// The registered processes: without `b`, and with `b`.
 static REGISTRATIONS: LazyLock<[BTreeMap<String, Incarnation>; 2]> =
     LazyLock::new(|| [processes(&["a"]), processes(&["a", "b"])]);
 
-/// A key that belongs to `b` while `b` is registered.
+/// A key for which `b` is responsible while it is registered.
 static KEY: LazyLock<String> = LazyLock::new(key);
 
-/// Restarts keep their incarnation: a process of the same name has no other memory here.
+/// Incarnation of an instance. It stays the same after a restart, since this model does not
+/// distinguish the processes of an instance by their number.
 fn process(name: &str) -> Incarnation {
     Incarnation {
         instance: name.to_string(),
@@ -128,8 +141,8 @@
     named.collect()
 }
 
-fn registrations(has_b: bool) -> BTreeMap<String, Incarnation> {
-    REGISTRATIONS[usize::from(has_b)].clone()
+fn registrations(b_is_registered: bool) -> BTreeMap<String, Incarnation> {
+    REGISTRATIONS[usize::from(b_is_registered)].clone()
 }
 
 fn key() -> String {
@@ -139,7 +152,7 @@
             let digest = KeyDigest::of(CUSTOMER, key).expect("a valid key");
             responsible(registrations(true).keys(), digest) == Some("b")
         })
-        .expect("both instances get keys")
+        .expect("b is responsible for some keys")
 }
 
 impl Model for KeyedModel {
@@ -147,23 +160,23 @@
 
     fn initial(&self) -> State {
         let settled = |at| {
-            let mut one = new_instance(at);
+            let mut instance = new_instance(at);
             (0..=START_MS).for_each(|time| {
-                one.registrations_read(time, registrations(true), LEASE)
+                instance.registrations_read(time, registrations(true), LEASE)
             });
-            Rc::new(one)
+            Rc::new(instance)
         };
         State {
             now_ms: START_MS,
             instances: [settled(0), settled(1)],
             has_read: [true, true],
             phase: Phase::Reading,
-            is_registered: true,
-            was_registered: [true, true],
+            b_is_registered: true,
+            b_was_registered: [true, true],
             changes: 0,
             calls: 0,
             restarts: 0,
-            decided: Vec::new(),
+            admitted: Vec::new(),
             last_run_ms: None,
             ran_twice: false,
         }
@@ -171,8 +184,8 @@
 
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
         let mut steps = Vec::new();
-        if state.calls >= self.calls && state.decided.is_empty() {
-            // No call can run any more.
+        if state.calls >= self.calls && state.admitted.is_empty() {
+            // No further call can run, so no violation can follow.
             return steps;
         }
         self.pass_time(state, &mut steps);
@@ -180,20 +193,20 @@
             let mut next = state.clone();
             next.phase = Phase::Reading;
             next.changes += 1;
-            next.is_registered = !state.is_registered;
+            next.b_is_registered = !state.b_is_registered;
             steps.push((Step::new("registration changes", 1, 0), next));
         }
         for at in 0..2 {
-            self.read(state, at, &mut steps);
-            self.call(state, at, &mut steps);
+            self.read_registrations(state, at, &mut steps);
+            self.admit_call(state, at, &mut steps);
             self.restart(state, at, &mut steps);
         }
-        for index in 0..state.decided.len() {
+        for index in 0..state.admitted.len() {
             let mut next = state.clone();
-            let (at, _) = next.decided.remove(index);
+            let (at, _) = next.admitted.remove(index);
             next.phase = Phase::Running;
             next.run(at);
-            steps.push((Step::new("run", at, 0), next));
+            steps.push((Step::new("run call", at, 0), next));
         }
         for (_, next) in &mut steps {
             next.instances = next.instances.each_ref().map(intern);
@@ -204,17 +217,18 @@
     fn violation(&self, state: &State) -> Option<&'static str> {
         state
             .ran_twice
-            .then_some("a key ran twice within the window")
+            .then_some("a call with the same key ran twice within the window")
     }
 }
 
 impl KeyedModel {
-    /// A decided call that reaches the deadline is given back.
+    /// Advances the time by one tick. Admitted calls beyond the dispatch deadline are dropped
+    /// and reported as not run.
     fn pass_time(&self, state: &State, steps: &mut Vec<(Step, State)>) {
         if state.now_ms >= START_MS + self.ticks {
             return;
         }
-        let late_ms = match self.fault {
+        let extra_ms = match self.fault {
             Fault::LateDispatch => 2,
             _ => 0,
         };
@@ -223,46 +237,57 @@
         next.has_read = [false, false];
         next.phase = Phase::Reading;
         if self.fault == Fault::DatedAtArrival {
-            next.was_registered = [state.was_registered[1], state.is_registered];
+            next.b_was_registered = [state.b_was_registered[1], state.b_is_registered];
         }
         let now_ms = next.now_ms;
-        let is_late = |decided_ms: u64| now_ms - decided_ms > DISPATCH_MS + late_ms;
-        for (at, _) in state.decided.iter().filter(|one| is_late(one.1)) {
+        let is_overdue = |admitted_ms: u64| now_ms - admitted_ms > DISPATCH_MS + extra_ms;
+        for (at, _) in state.admitted.iter().filter(|call| is_overdue(call.1)) {
             Rc::make_mut(&mut next.instances[*at]).finish(now_ms, RequestId(0), Ran::No);
         }
-        next.decided.retain(|one| !is_late(one.1));
+        next.admitted.retain(|call| !is_overdue(call.1));
         steps.push((Step::new("tick", 0, 0), next));
     }
 
-    fn read(&self, state: &State, at: usize, steps: &mut Vec<(Step, State)>) {
+    /// An instance reads the registrations.
+    fn read_registrations(
+        &self,
+        state: &State,
+        at: usize,
+        steps: &mut Vec<(Step, State)>,
+    ) {
         let last_phase = [Phase::Reading, Phase::BHasRead][at];
         if state.has_read[at] || state.phase > last_phase {
             return;
         }
-        let mut seen = BTreeSet::from([state.is_registered]);
+        let mut possible_views = BTreeSet::from([state.b_is_registered]);
         if self.fault == Fault::DatedAtArrival {
-            seen.insert(state.was_registered[0]);
+            possible_views.insert(state.b_was_registered[0]);
         }
-        for has_b in seen {
+        for b_is_registered in possible_views {
             let mut next = state.clone();
             next.has_read[at] = true;
             next.phase = last_phase;
             // Each return of `b` to the registrations has a new lease.
             let lease = match (at, self.fault) {
                 (1, Fault::LeaseIgnored) | (0, _) => LEASE,
-                _ => has_b.then_some(i64::from(state.changes / 2)),
+                _ => b_is_registered.then_some(i64::from(state.changes / 2)),
             };
             Rc::make_mut(&mut next.instances[at]).registrations_read(
                 state.now_ms,
-                registrations(has_b),
+                registrations(b_is_registered),
                 lease,
             );
-            steps.push((Step::new("read", at, usize::from(has_b)), next));
+            steps.push((
+                Step::new("read registrations", at, usize::from(b_is_registered)),
+                next,
+            ));
         }
     }
 
-    fn call(&self, state: &State, at: usize, steps: &mut Vec<(Step, State)>) {
-        if state.calls >= self.calls || state.phase > Phase::Deciding {
+    /// A call arrives, and the instance admits it. Refused calls have no step, since they do not
+    /// run.
+    fn admit_call(&self, state: &State, at: usize, steps: &mut Vec<(Step, State)>) {
+        if state.calls >= self.calls || state.phase > Phase::Admitting {
             return;
         }
         let mut next = state.clone();
@@ -276,13 +301,14 @@
         );
         if admission == KeyedAdmission::Run {
             next.calls += 1;
-            next.phase = Phase::Deciding;
-            next.decided.push((at, now_ms));
-            next.decided.sort_unstable();
-            steps.push((Step::new("decide to run", at, 0), next));
+            next.phase = Phase::Admitting;
+            next.admitted.push((at, now_ms));
+            next.admitted.sort_unstable();
+            steps.push((Step::new("admit call", at, 0), next));
         }
     }
 
+    /// An instance restarts without memory and without its admitted calls.
     fn restart(&self, state: &State, at: usize, steps: &mut Vec<(Step, State)>) {
         if state.restarts >= self.restarts || state.phase > Phase::BHasRead {
             return;
@@ -297,12 +323,13 @@
                 instance.registrations_read(time, registrations(true), LEASE);
             });
         }
-        next.decided.retain(|one| one.0 != at);
+        next.admitted.retain(|call| call.0 != at);
         steps.push((Step::new("restart", at, 0), next));
     }
 }
 
 impl State {
+    /// Runs a call at instance `at`.
     fn run(&mut self, at: usize) {
         let is_repeat = self
             .last_run_ms
--- a/crates/spec/src/ownership_keyed_handover.rs
+++ b/crates/spec/src/ownership_keyed_handover.rs
@@ -1,17 +1,21 @@
-//! At-most-once execution of a call with an idempotency key while the founder of the fleet
-//! stops and hands its keys over.
+//! Model of calls that have an idempotency key but belong to no program, while the first
+//! instance of the fleet stops and hands its keys over.
 //!
-//! The founder `f` is responsible for all keys while it is registered; without it the key
-//! belongs to `b`, and to `a` while `b` is not registered either. The product's own
-//! [`KeyedCalls`] decides. The founder may retire, export and leave in any order that the
-//! product allows, or leave without a handover, as when it is killed. The parts of the
-//! handover may be lost, doubled, late and out of order, and may reach a later process of the
-//! same name. Each instance may or may not read the registrations in a tick; `b` may restart,
-//! and the registrations of `f` and `b` may come and go.
+//! It checks, like [`crate::ownership_keyed`], that a call with the key runs at most once
+//! within a time window. The first instance `f`, the founder, is responsible for all keys
+//! while it is registered. Without it `b` is responsible for the key of the search, and `a`
+//! if `b` is not registered either. [`KeyedCalls`] makes the decisions.
 //!
-//! Bounded: ticks, changes of registrations, calls and restarts, and the scale of
-//! [`crate::ownership_keyed`]. Calls with another key are not searched; one such key was
-//! run by the founder before, so that a handover can have two parts.
+//! The founder may retire, export its keys and leave in any order that [`KeyedCalls`] allows,
+//! or leave without a handover like a process that is killed. The parts of the handover may be
+//! lost, duplicated, delayed and reordered, and may reach a later process of the same name.
+//! In each tick an instance may read the registrations or not. `b` may restart, and the
+//! registrations of `f` and `b` may lapse and return.
+//!
+//! A search is bounded to a number of ticks, changes of registrations, calls and restarts. The
+//! window, the age of views and the dispatch deadline are those of
+//! [`crate::ownership_keyed`]. Calls with another key are not searched, but the founder has
+//! run one such key before the start, so that a handover can have two parts.
 
 mod steps;
 
@@ -28,100 +32,114 @@
 use crate::ownership::{Model, Step};
 use crate::ownership_keyed::WINDOW_MS;
 
+/// Longest age at which a view of the registrations may be used.
 const FRESHNESS_MS: u64 = 1;
+/// Longest time between the admission of a call and its dispatch.
 const DISPATCH_MS: u64 = 1;
 
-/// The instances have run for longer than the settling time when the search begins.
+/// Start of the search. By then the instances have run for longer than they need to settle.
 const START_MS: u64 = 20;
 
 const CUSTOMER: &str = "acme";
+/// Names of the instances, by index.
 const NAMES: [&str; 3] = ["f", "a", "b"];
+/// Index of `f`.
 const FOUNDER: usize = 0;
-const RESTARTING: usize = 2;
+/// Index of `b`, the only instance that restarts.
+const INSTANCE_B: usize = 2;
 
-/// A rule that is left out.
+/// A protocol rule to break, to show that the search finds the resulting violation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// All rules are kept.
+    /// No rule is broken.
     None,
-    /// The founder admits calls after it has exported its keys.
+    /// The founder goes on admitting calls after it has retired.
     NoRetirement,
     /// The founder exports its keys while a call is under way.
     ExportWhileRunning,
-    /// Each instance that gets the keys may use the claim for all keys.
+    /// The founder exports its keys to each receiver as if it were the only successor.
     EachIsSuccessor,
-    /// A later process of the successor's name may use the claim.
+    /// A later process with the name of a successor may use the handover.
     SuccessorByName,
-    /// The claim counts after the first part that arrives.
+    /// The handover takes effect when the first of its parts arrives.
     OnePartIsEnough,
-    /// A restarted founder claims to know the past.
+    /// A restarted founder exports as if it knew all earlier runs.
     UnsettledClaim,
 }
 
-/// What is explored.
+/// What a search covers.
 #[derive(Clone, Copy, Debug)]
 pub struct HandoverModel {
-    /// Ticks after the start.
+    /// Number of ticks.
     pub ticks: u64,
-    /// Changes of registrations.
+    /// Number of changes of registrations.
     pub changes: u8,
-    /// Whether the registration of `b` changes too. Otherwise `a` never gets the key, and
-    /// its steps are left out.
+    /// Whether the registration of `b` changes too. Otherwise `a` is never responsible for the
+    /// key, and its steps are left out.
     pub b_may_leave: bool,
-    /// Calls with the key.
+    /// Number of admitted calls.
     pub calls: u8,
-    /// Restarts of `b`.
+    /// Number of restarts of `b`.
     pub restarts: u8,
-    /// The founder has just restarted, and its predecessor ran the key at the very end.
+    /// Whether the founder has just restarted, and its predecessor ran a call with the key right
+    /// before.
     pub has_restarted_founder: bool,
-    /// Looks for a run by a successor, to show that the search reaches it.
-    pub seeks_run_by_successor: bool,
-    /// The rule that is left out.
+    /// Whether to search for a run by a successor instead of a second run, to show that the
+    /// search reaches such runs.
+    pub seek_run_by_successor: bool,
+    /// The rule to break.
     pub fault: Fault,
 }
 
-/// A part under way: the receiver, its incarnation number, and the content.
+/// A part of the handover that is under way: the index of the receiver, the incarnation number
+/// of the process to which it is addressed, and the content.
 type Message = (usize, u64, KeyedHandover);
 
-/// One state.
+/// State of the whole system.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct State {
     now_ms: u64,
     instances: [Rc<KeyedCalls>; 3],
-    /// Number of the current process of each instance.
+    /// Incarnation number of the current process of each instance.
     numbers: [u64; 3],
-    /// The instances from this one on may read in this tick. Reads of different instances
-    /// commute, so that one order is enough until a registration changes.
+    /// The instances from this one on may still read in this tick. Reads of different
+    /// instances commute, so it suffices to search one order until a registration changes.
     next_reader: usize,
+    /// Whether the instance has read the registrations in this tick.
     has_read: [bool; 3],
     is_registered: [bool; 3],
-    /// The leases of the registrations. Each return has a new one.
+    /// The leases of the registrations. A registration that returns has a new lease.
     leases: [i64; 3],
-    /// Reads and changes come first in a tick, then decisions, then runs.
-    is_deciding: bool,
-    is_running: bool,
+    /// Whether a call was admitted in this tick. Reads and changes of registrations come before
+    /// the admissions of a tick, which come before its runs.
+    has_admitted_call: bool,
+    /// Whether a call ran in this tick.
+    has_run_call: bool,
     changes: u8,
     calls: u8,
     restarts: u8,
     has_retired: bool,
     has_exported: bool,
-    /// Parts under way. They stay, since each may be delivered again.
+    /// Parts of the handover under way. They are not removed on delivery, so that each may be
+    /// delivered again.
     messages: Rc<Vec<Message>>,
-    decided: Vec<(usize, u64)>,
+    /// Calls that are admitted and not dispatched yet: the instance and the time of admission.
+    admitted: Vec<(usize, u64)>,
     last_run_ms: Option<u64>,
     ran_twice: bool,
+    /// Whether an instance other than the founder ran a call.
     successor_ran: bool,
 }
 
-/// The key that is searched, and one that the founder has run before. Both belong to `b`
-/// while `b` is registered and the founder is not.
+/// The key of the search, and one that the founder has run before. `b` is responsible for both
+/// while it is registered and the founder is not.
 static KEYS: LazyLock<[String; 2]> = LazyLock::new(|| {
     let names = ["a", "b"].map(str::to_string);
     let mut keys = (0..).map(|number: u32| number.to_string()).filter(|key| {
         let digest = KeyDigest::of(CUSTOMER, key).expect("a valid key");
         responsible(&names, digest) == Some("b")
     });
-    [(); 2].map(|()| keys.next().expect("b gets keys"))
+    [(); 2].map(|()| keys.next().expect("b is responsible for some keys"))
 });
 
 fn process(at: usize, number: u64) -> Incarnation {
@@ -140,25 +158,32 @@
     })
 }
 
-/// An instance that has seen the founder registered in each tick.
-fn reader(at: usize, from_ms: u64, until_ms: u64, is_founder: bool) -> KeyedCalls {
+/// An instance that has read the registrations in each tick from `from_ms` to `until_ms`, with
+/// only the founder registered.
+fn instance_with_views(
+    at: usize,
+    from_ms: u64,
+    until_ms: u64,
+    is_founder: bool,
+) -> KeyedCalls {
     let founder = BTreeMap::from([("f".to_string(), process(FOUNDER, 1))]);
-    let mut one = new_instance(at, 1);
+    let mut instance = new_instance(at, 1);
     if is_founder {
-        one.assume_founder();
+        instance.assume_founder();
     }
     (from_ms..=until_ms)
-        .for_each(|time| one.registrations_read(time, founder.clone(), Some(0)));
-    one
+        .for_each(|time| instance.registrations_read(time, founder.clone(), Some(0)));
+    instance
 }
 
-/// A founder that knows no key.
+/// A settled founder that has run no key.
 fn settled_founder(now_ms: u64) -> KeyedCalls {
-    reader(FOUNDER, 0, now_ms, true)
+    instance_with_views(FOUNDER, 0, now_ms, true)
 }
 
 impl State {
-    /// The processes among which keys are divided.
+    /// The registered processes among which keys are divided: only the founder while it is
+    /// registered.
     fn processes(&self) -> BTreeMap<String, Incarnation> {
         let registered = |at: &usize| self.is_registered[*at];
         let range = match self.is_registered[FOUNDER] {
@@ -176,6 +201,7 @@
         Rc::make_mut(&mut self.instances[at])
     }
 
+    /// Runs a call at instance `at`.
     fn run(&mut self, at: usize) {
         let is_repeat = self
             .last_run_ms
@@ -193,8 +219,8 @@
 
     fn initial(&self) -> State {
         let mut instances = [0, 1, 2].map(|at| match self.has_restarted_founder {
-            true if at == FOUNDER => reader(at, START_MS, START_MS, false),
-            _ => reader(at, 0, START_MS, at == FOUNDER),
+            true if at == FOUNDER => instance_with_views(at, START_MS, START_MS, false),
+            _ => instance_with_views(at, 0, START_MS, at == FOUNDER),
         });
         if !self.has_restarted_founder {
             let other = RequestId(1);
@@ -211,15 +237,15 @@
             has_read: [true; 3],
             is_registered: [true; 3],
             leases: [0; 3],
-            is_deciding: false,
-            is_running: false,
+            has_admitted_call: false,
+            has_run_call: false,
             changes: 0,
             calls: 0,
             restarts: 0,
             has_retired: false,
             has_exported: false,
             messages: Rc::default(),
-            decided: Vec::new(),
+            admitted: Vec::new(),
             last_run_ms: self.has_restarted_founder.then_some(START_MS),
             ran_twice: false,
             successor_ran: false,
@@ -228,31 +254,31 @@
 
     fn steps(&self, state: &State) -> Vec<(Step, State)> {
         let mut steps = Vec::new();
-        if state.calls >= self.calls && state.decided.is_empty() {
+        if state.calls >= self.calls && state.admitted.is_empty() {
             return steps;
         }
         self.pass_time(state, &mut steps);
-        if !state.is_deciding && !state.is_running {
-            self.change(state, FOUNDER, &mut steps);
+        if !state.has_admitted_call && !state.has_run_call {
+            self.change_registration(state, FOUNDER, &mut steps);
             if self.b_may_leave {
-                self.change(state, RESTARTING, &mut steps);
+                self.change_registration(state, INSTANCE_B, &mut steps);
             }
             self.restart(state, &mut steps);
             let active = (0..3).filter(|at| self.is_active(*at));
-            active.for_each(|at| steps::read(state, at, &mut steps));
+            active.for_each(|at| steps::read_registrations(state, at, &mut steps));
         }
         self.retire(state, &mut steps);
         self.export(state, &mut steps);
-        if !state.is_running {
+        if !state.has_run_call {
             self.deliver(state, &mut steps);
         }
-        (0..3).for_each(|at| self.call(state, at, &mut steps));
-        for index in 0..state.decided.len() {
+        (0..3).for_each(|at| self.admit_call(state, at, &mut steps));
+        for index in 0..state.admitted.len() {
             let mut next = state.clone();
-            let (at, _) = next.decided.remove(index);
-            next.is_running = true;
+            let (at, _) = next.admitted.remove(index);
+            next.has_run_call = true;
             next.run(at);
-            steps.push((Step::new("run", at, 0), next));
+            steps.push((Step::new("run call", at, 0), next));
         }
         for (_, next) in &mut steps {
             next.instances = next.instances.each_ref().map(intern);
@@ -261,11 +287,13 @@
     }
 
     fn violation(&self, state: &State) -> Option<&'static str> {
-        match self.seeks_run_by_successor {
-            true => state.successor_ran.then_some("a successor ran the key"),
+        match self.seek_run_by_successor {
+            true => state
+                .successor_ran
+                .then_some("a successor ran a call with the key"),
             false => state
                 .ran_twice
-                .then_some("a key ran twice within the window"),
+                .then_some("a call with the same key ran twice within the window"),
         }
     }
 }
--- a/crates/spec/src/ownership_keyed_handover/steps.rs
+++ b/crates/spec/src/ownership_keyed_handover/steps.rs
@@ -1,4 +1,4 @@
-//! The steps of the search.
+//! Steps of the instances, the registrations and the handover.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -7,16 +7,16 @@
 use jayreel_programs::{KeyedAdmission, KeyedCalls};
 
 use super::{
-    CUSTOMER, DISPATCH_MS, FOUNDER, Fault, HandoverModel, KEYS, Message, NAMES,
-    RESTARTING, START_MS, State, new_instance, process, settled_founder,
+    CUSTOMER, DISPATCH_MS, FOUNDER, Fault, HandoverModel, INSTANCE_B, KEYS, Message,
+    NAMES, START_MS, State, new_instance, process, settled_founder,
 };
 use crate::ownership::Step;
 
 type Steps = Vec<(Step, State)>;
 
-/// The instance reads the registrations.
-pub(super) fn read(state: &State, at: usize, steps: &mut Steps) {
-    // What a retired founder reads has no effect on a handover.
+/// An instance reads the registrations.
+pub(super) fn read_registrations(state: &State, at: usize, steps: &mut Steps) {
+    // A read by a retired founder has no effect on the handover.
     let is_retired = at == FOUNDER && state.has_retired;
     if state.has_read[at] || at < state.next_reader || is_retired {
         return;
@@ -28,16 +28,17 @@
     let lease = state.is_registered[at].then_some(state.leases[at]);
     next.instance(at)
         .registrations_read(state.now_ms, processes, lease);
-    steps.push((Step::new("read", at, 0), next));
+    steps.push((Step::new("read registrations", at, 0), next));
 }
 
 impl HandoverModel {
-    /// Whether the steps of an instance matter.
+    /// Whether the steps of an instance are searched.
     pub(super) fn is_active(&self, at: usize) -> bool {
         self.b_may_leave || NAMES[at] != "a"
     }
 
-    /// A decided call that reaches the deadline is given back.
+    /// Advances the time by one tick. Admitted calls beyond the dispatch deadline are dropped
+    /// and reported as not run.
     pub(super) fn pass_time(&self, state: &State, steps: &mut Steps) {
         if state.now_ms >= START_MS + self.ticks {
             return;
@@ -46,19 +47,24 @@
         next.now_ms += 1;
         next.has_read = [false; 3];
         next.next_reader = 0;
-        next.is_deciding = false;
-        next.is_running = false;
+        next.has_admitted_call = false;
+        next.has_run_call = false;
         let now_ms = next.now_ms;
-        let is_late = |decided_ms: u64| now_ms - decided_ms > DISPATCH_MS;
-        for (at, _) in state.decided.iter().filter(|one| is_late(one.1)) {
+        let is_overdue = |admitted_ms: u64| now_ms - admitted_ms > DISPATCH_MS;
+        for (at, _) in state.admitted.iter().filter(|call| is_overdue(call.1)) {
             next.instance(*at).finish(now_ms, RequestId(0), Ran::No);
         }
-        next.decided.retain(|one| !is_late(one.1));
+        next.admitted.retain(|call| !is_overdue(call.1));
         steps.push((Step::new("tick", 0, 0), next));
     }
 
-    /// The registration of an instance comes or goes.
-    pub(super) fn change(&self, state: &State, at: usize, steps: &mut Steps) {
+    /// The registration of an instance lapses or returns.
+    pub(super) fn change_registration(
+        &self,
+        state: &State,
+        at: usize,
+        steps: &mut Steps,
+    ) {
         if state.changes >= self.changes {
             return;
         }
@@ -71,23 +77,26 @@
         steps.push((step, next));
     }
 
+    /// `b` restarts without memory and without its admitted calls.
     pub(super) fn restart(&self, state: &State, steps: &mut Steps) {
         if state.restarts >= self.restarts {
             return;
         }
-        let at = RESTARTING;
+        let at = INSTANCE_B;
         let mut next = state.clone();
         next.restarts += 1;
         next.numbers[at] += 1;
         next.has_read[at] = false;
         next.next_reader = 0;
         next.instances[at] = Rc::new(new_instance(at, next.numbers[at]));
-        next.decided.retain(|one| one.0 != at);
+        next.admitted.retain(|call| call.0 != at);
         steps.push((Step::new("restart", at, 0), next));
     }
 
-    pub(super) fn call(&self, state: &State, at: usize, steps: &mut Steps) {
-        if state.calls >= self.calls || state.is_running {
+    /// A call arrives, and the instance admits it. Refused calls have no step, since they do not
+    /// run.
+    pub(super) fn admit_call(&self, state: &State, at: usize, steps: &mut Steps) {
+        if state.calls >= self.calls || state.has_run_call {
             return;
         }
         let mut next = state.clone();
@@ -98,14 +107,14 @@
             .admit(now_ms, request_id, CUSTOMER, &KEYS[0], false);
         if admission == KeyedAdmission::Run {
             next.calls += 1;
-            next.is_deciding = true;
-            next.decided.push((at, now_ms));
-            next.decided.sort_unstable();
-            steps.push((Step::new("decide to run", at, 0), next));
+            next.has_admitted_call = true;
+            next.admitted.push((at, now_ms));
+            next.admitted.sort_unstable();
+            steps.push((Step::new("admit call", at, 0), next));
         }
     }
 
-    /// The founder ceases to admit calls.
+    /// The founder stops admitting calls.
     pub(super) fn retire(&self, state: &State, steps: &mut Steps) {
         if state.has_retired {
             return;
@@ -137,22 +146,24 @@
             let Some(parts) = founder.export(now_ms, successors, 1) else {
                 return;
             };
-            messages.extend(parts.into_iter().map(addressed));
+            messages.extend(parts.into_iter().map(with_receiver));
         }
         let mut next = state.clone();
         next.has_exported = true;
         next.messages = Rc::new(messages);
-        steps.push((Step::new("export", FOUNDER, 0), next));
+        steps.push((Step::new("export keys", FOUNDER, 0), next));
     }
 
-    /// The successors in one export, or with a fault in several.
+    /// The receivers of each export. There is one export, or several with some of the faults.
     fn successors(&self, state: &State) -> Vec<BTreeMap<String, Incarnation>> {
         let named = |at: usize, number| (NAMES[at].to_string(), process(at, number));
         let registered: Vec<usize> =
             (1..3).filter(|at| state.is_registered[*at]).collect();
         let current = registered.iter().map(|at| named(*at, state.numbers[*at]));
         match self.fault {
-            Fault::EachIsSuccessor => current.map(|one| BTreeMap::from([one])).collect(),
+            Fault::EachIsSuccessor => {
+                current.map(|receiver| BTreeMap::from([receiver])).collect()
+            }
             Fault::SuccessorByName => {
                 let later = registered
                     .iter()
@@ -163,12 +174,12 @@
         }
     }
 
-    /// A part reaches the process that now has the receiver's name. With a fault the part
-    /// is one that names this process.
+    /// A part of the handover reaches the process that now has the name of the receiver. With
+    /// [`Fault::SuccessorByName`] only parts that name this process are delivered.
     pub(super) fn deliver(&self, state: &State, steps: &mut Steps) {
         for (index, (at, number, part)) in state.messages.iter().enumerate() {
-            let is_other = state.numbers[*at] != *number;
-            let is_dropped = is_other && self.fault == Fault::SuccessorByName;
+            let is_other_process = state.numbers[*at] != *number;
+            let is_dropped = is_other_process && self.fault == Fault::SuccessorByName;
             if is_dropped || !self.is_active(*at) {
                 continue;
             }
@@ -178,12 +189,17 @@
             }
             let mut next = state.clone();
             next.instance(*at).import(state.now_ms, part);
-            steps.push((Step::new("deliver", *at, index), next));
+            steps.push((Step::new("deliver handover part", *at, index), next));
         }
     }
 }
 
-fn addressed((to, part): (Incarnation, jayreel_programs::KeyedHandover)) -> Message {
+/// Adds the index and the incarnation number of the receiver to a part.
+fn with_receiver((to, part): (Incarnation, jayreel_programs::KeyedHandover)) -> Message {
     let at = NAMES.iter().position(|name| *name == to.instance);
-    (at.expect("a known name"), to.number, part)
+    (
+        at.expect("the receiver is one of the instances"),
+        to.number,
+        part,
+    )
 }
--- a/crates/spec/tests/ownership_keyed.rs
+++ b/crates/spec/tests/ownership_keyed.rs
@@ -1,6 +1,7 @@
-//! Searches all interleavings of registrations, views and calls with one idempotency key.
-//! `cargo test -p jayreel-spec --test ownership_keyed -- --nocapture` prints states, depth,
-//! time and traces.
+//! Exhaustive searches of registrations, views of them, and calls with one idempotency key.
+//!
+//! `cargo test -p jayreel-spec --test ownership_keyed -- --nocapture` prints the number of
+//! states, the depth, the time and the traces.
 
 use jayreel_spec::ownership::explore;
 use jayreel_spec::ownership_keyed::{Fault, KeyedModel};
@@ -14,12 +15,13 @@
     fault: Fault::None,
 };
 
-/// The faults show with one change.
+/// One change is enough to show most of the faults, and is faster to search.
 const ONE_CHANGE: KeyedModel = KeyedModel {
     changes: 1,
     ..CHANGES
 };
 
+/// The registration can lapse, return and lapse again between two reads.
 const UNSEEN_RETURN: KeyedModel = KeyedModel {
     changes: 3,
     ..CHANGES
@@ -38,8 +40,8 @@
     assert_eq!(report.violation, None);
 }
 
-// Guards against a second run when the registration of the responsible instance lapses,
-// returns and lapses again between two readings of the other one.
+/// Guards against a second run when the registration of the responsible instance lapses,
+/// returns and lapses again between two reads of the other instance.
 #[test]
 fn a_key_runs_once_while_a_registration_returns_unseen() {
     let report = explore("unseen return", &UNSEEN_RETURN);
@@ -50,10 +52,10 @@
 #[test_case(ONE_CHANGE, Fault::LateDispatch, 16)]
 #[test_case(RESTARTS, Fault::NoWaitAfterRestart, 6)]
 #[test_case(UNSEEN_RETURN, Fault::LeaseIgnored, 19)]
-fn a_missing_rule_is_found(model: KeyedModel, fault: Fault, trace_length: usize) {
+fn seeded_fault_is_found(model: KeyedModel, fault: Fault, trace_length: usize) {
     let name = format!("{fault:?}");
     let report = explore(&name, &KeyedModel { fault, ..model });
-    let (_, trace) = report.violation.expect("a trace");
+    let (_, trace) = report.violation.expect("the search must find the fault");
     assert_eq!(
         trace.len(),
         trace_length,
--- a/crates/spec/tests/ownership_keyed_handover.rs
+++ b/crates/spec/tests/ownership_keyed_handover.rs
@@ -1,7 +1,8 @@
-//! Searches all interleavings of a stop of the founder, the handover of its keys, changes of
-//! registrations and calls with one idempotency key.
-//! `cargo test -p jayreel-spec --test ownership_keyed_handover -- --nocapture` prints
-//! states, depth, time and traces.
+//! Exhaustive searches of calls with one idempotency key while the founder stops, hands over
+//! its keys, and registrations change.
+//!
+//! `cargo test -p jayreel-spec --test ownership_keyed_handover -- --nocapture` prints the
+//! number of states, the depth, the time and the traces.
 
 use jayreel_spec::ownership::explore;
 use jayreel_spec::ownership_keyed_handover::{Fault, HandoverModel};
@@ -14,7 +15,7 @@
     calls: 2,
     restarts: 0,
     has_restarted_founder: false,
-    seeks_run_by_successor: false,
+    seek_run_by_successor: false,
     fault: Fault::None,
 };
 
@@ -26,7 +27,7 @@
     ..CHANGES
 };
 
-/// The second run is the one that the search looks for.
+/// The key has run before the start, so one call is enough for a second run.
 const RESTARTED_FOUNDER: HandoverModel = HandoverModel {
     ticks: 3,
     changes: 1,
@@ -43,11 +44,12 @@
     assert_eq!(report.violation, None);
 }
 
-// Guards against a search in which no successor ever runs a call.
+/// Guards against a search in which no successor ever runs a call, so that a second run could
+/// not be found.
 #[test]
 fn a_successor_runs_a_key_before_the_window_is_over() {
     let model = HandoverModel {
-        seeks_run_by_successor: true,
+        seek_run_by_successor: true,
         ..CHANGES
     };
     let report = explore("run by a successor", &model);
@@ -60,10 +62,10 @@
 #[test_case(RESTARTS, Fault::SuccessorByName, 18)]
 #[test_case(CHANGES, Fault::OnePartIsEnough, 10)]
 #[test_case(RESTARTED_FOUNDER, Fault::UnsettledClaim, 8)]
-fn a_missing_rule_is_found(model: HandoverModel, fault: Fault, trace_length: usize) {
+fn seeded_fault_is_found(model: HandoverModel, fault: Fault, trace_length: usize) {
     let name = format!("{fault:?}");
     let report = explore(&name, &HandoverModel { fault, ..model });
-    let (_, trace) = report.violation.expect("a trace");
+    let (_, trace) = report.violation.expect("the search must find the fault");
     assert_eq!(
         trace.len(),
         trace_length,
