--- a/crates/spec/src/home_weights.rs
+++ b/crates/spec/src/home_weights.rs
@@ -67,8 +67,8 @@
     /// Weights in the record at the start, in parts per million.
     pub weights_ppm: Vec<u32>,
     /// Number of instances, from the first on, that renew their registration and read the
-    /// record exactly once in each tick. Only they reclaim weights. The other instances may
-    /// renew and read at any time.
+    /// record exactly once in each tick. Only they reclaim weights. The other instances
+    /// renew and read at any time at which this leads to a new state.
     pub steady_instances: usize,
     /// Number of renewals and reads of all other instances together.
     pub store_contacts: u8,
--- a/crates/spec/tests/ownership_keyed.rs
+++ b/crates/spec/tests/ownership_keyed.rs
@@ -15,7 +15,7 @@
     fault: Fault::None,
 };
 
-/// One change is enough to show most of the faults, and is faster to search.
+/// One change is enough to show [`Fault::DatedAtArrival`] and [`Fault::LateDispatch`].
 const ONE_CHANGE: KeyedModel = KeyedModel {
     changes: 1,
     ..CHANGES
