--- a/crates/gateway/src/backoff.rs
+++ b/crates/gateway/src/backoff.rs
@@ -2,7 +2,7 @@
 //!
 //! Without it, every entry instance would retry several times a second while the store is
 //! down, and the load on the recovering store would grow with the size of the installation.
-//! Only the few instances with a disk retry at a short fixed interval; entry instances read
+//! Only the few storage instances retry at a short fixed interval; entry instances read
 //! the results from them.
 
 /// Pause after the first failure, in milliseconds: several times the duration of a successful
--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -64,7 +64,7 @@
 
 /// Load per slot above which an endpoint counts as overloaded. The queue of an endpoint is
 /// three times its slots.
-const OVERLOAD_THRESHOLD: f64 = 3.5;
+const OVERLOAD_LOAD_PER_SLOT: f64 = 3.5;
 
 /// What this instance knows about one run of an endpoint.
 #[derive(Debug)]
@@ -231,7 +231,7 @@
         let mut usable = self.endpoints.values().filter(|endpoint| {
             endpoint.entry.service == service && !endpoint.entry.is_draining
         });
-        usable.all(|endpoint| endpoint.load(now_ms) > OVERLOAD_THRESHOLD)
+        usable.all(|endpoint| endpoint.load(now_ms) > OVERLOAD_LOAD_PER_SLOT)
     }
 
     /// Counts a request as in flight at an endpoint.
@@ -291,7 +291,7 @@
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             let slots = f64::from(endpoint.entry.slots);
             endpoint.other_requests =
-                endpoint.other_requests.max(slots * OVERLOAD_THRESHOLD);
+                endpoint.other_requests.max(slots * OVERLOAD_LOAD_PER_SLOT);
             endpoint.reported_ms = now_ms;
         }
     }
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,6 +1,6 @@
 //! A clock that keeps counting while the machine is suspended.
 //!
-//! Quota tokens and the proof that the configuration is current must expire during a
+//! Quota tokens and the confirmation that the configuration is current must expire during a
 //! suspension. The monotonic clock stops then, so it can't be used for them.
 
 use std::time::Duration;
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -34,23 +34,23 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Largest request head, in bytes.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Largest request body, in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Time for a caller to send a whole request head, in milliseconds.
-    pub head_ms: u64,
+    pub head_timeout_ms: u64,
     /// Time after which an idle connection is closed, in milliseconds.
-    pub idle_ms: u64,
+    pub idle_timeout_ms: u64,
 }
 
 impl Default for Limits {
     /// The limits that apply until the first configuration is read.
     fn default() -> Limits {
         Limits {
-            head_bytes: 16_384,
-            body_bytes: 4 << 20,
-            head_ms: 3_000,
-            idle_ms: 15_000,
+            max_head_bytes: 16_384,
+            max_body_bytes: 4 << 20,
+            head_timeout_ms: 3_000,
+            idle_timeout_ms: 15_000,
         }
     }
 }
@@ -111,7 +111,7 @@
     /// Number of endpoints to which one request may be sent. At least 1.
     pub max_attempts: u32,
     /// Finished turns are stored, so that a request carries only the new part of its input.
-    pub keeps_turns: bool,
+    pub stores_turns: bool,
     /// How long stored turns and programs can be continued, in milliseconds.
     pub retention_ms: u64,
     /// Requests need no API key.
--- a/crates/gateway/src/contact.rs
+++ b/crates/gateway/src/contact.rs
@@ -30,11 +30,11 @@
 
 /// Upper bound of the Retry-After without a quorum, in milliseconds. Callers make few
 /// attempts; with this interval the last ones come after the load balancer has acted.
-const MAX_RETRY_MS: u64 = 900;
+const MAX_RETRY_AFTER_MS: u64 = 900;
 
 /// Retry-After if the next attempt probably reaches another instance, in milliseconds: long
 /// enough to open a new connection.
-const OTHER_INSTANCE_RETRY_MS: u64 = 100;
+const OTHER_INSTANCE_RETRY_AFTER_MS: u64 = 100;
 
 /// Time without a quorum after which an instance that receives no response from any member considers itself
 /// the only one that is cut off, in milliseconds. By then it has tried to read the
@@ -45,7 +45,7 @@
 /// Retry-After of an instance that has received no responses from a quorum since its start, in
 /// milliseconds: about the time that a member killed at the same moment needs to read its
 /// disk.
-const STARTUP_RETRY_MS: u64 = 250;
+const STARTUP_RETRY_AFTER_MS: u64 = 250;
 
 /// Times of the last responses from the group and the store, from [`now_ms`](crate::now_ms).
 /// None before the first response.
@@ -58,18 +58,18 @@
 
 impl GroupContact {
     /// Records responses from a quorum of the members.
-    pub fn note_quorum(&mut self, now_ms: u64) {
+    pub fn record_quorum_response(&mut self, now_ms: u64) {
         self.last_quorum_ms = self.last_quorum_ms.max(Some(now_ms));
-        self.note_member(now_ms);
+        self.record_member_response(now_ms);
     }
 
     /// Records a response from one member.
-    pub fn note_member(&mut self, now_ms: u64) {
+    pub fn record_member_response(&mut self, now_ms: u64) {
         self.last_member_ms = self.last_member_ms.max(Some(now_ms));
     }
 
     /// Records a response from the metadata store.
-    pub fn note_store(&mut self, now_ms: u64) {
+    pub fn record_store_response(&mut self, now_ms: u64) {
         self.last_store_ms = self.last_store_ms.max(Some(now_ms));
     }
 
@@ -116,20 +116,20 @@
     /// attempt would reach the same zone again, it is the time until the load balancer acts.
     /// `zone_has_member` says whether the group has a member in this instance's availability
     /// zone.
-    pub fn retry_ms(&self, now_ms: u64, zone_has_member: bool) -> u64 {
+    pub fn retry_after_ms(&self, now_ms: u64, zone_has_member: bool) -> u64 {
         match self.silence_ms(now_ms) {
-            None => STARTUP_RETRY_MS,
-            Some(_) if self.has_store_responded_since_loss() => MAX_RETRY_MS,
+            None => STARTUP_RETRY_AFTER_MS,
+            Some(_) if self.has_store_responded_since_loss() => MAX_RETRY_AFTER_MS,
             Some(silence_ms)
                 if zone_has_member
                     && !self.has_member(now_ms)
                     && silence_ms >= ISOLATED_AFTER_MS =>
             {
-                OTHER_INSTANCE_RETRY_MS
+                OTHER_INSTANCE_RETRY_AFTER_MS
             }
             Some(silence_ms) => ROTATION_DELAY_MS
                 .saturating_sub(silence_ms)
-                .clamp(OTHER_INSTANCE_RETRY_MS, MAX_RETRY_MS),
+                .clamp(OTHER_INSTANCE_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS),
         }
     }
 }
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -1,7 +1,7 @@
 //! Interface to the metadata store, and the types of its records.
 //!
 //! The store holds the operator's configuration, the endpoint registry, the retirements that
-//! the operator ordered, and the records that the instances keep for themselves, such as the
+//! the operator requested, and the records that the instances keep for themselves, such as the
 //! group's membership. Each platform implements [`MetadataStore`] for its own store.
 
 use std::fmt;
@@ -112,7 +112,7 @@
 }
 
 /// A record that the instances keep for themselves, such as the group's membership or the
-/// registration of an instance with a disk.
+/// registration of a storage instance.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct InternalRecord {
     /// Name of the record.
@@ -123,7 +123,7 @@
     pub revision: u64,
 }
 
-/// An operator's order to move all data off an instance with a disk.
+/// An operator's request to move all data off a storage instance.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Retirement {
     /// Name of the instance to retire.
--- a/crates/gateway/src/edge/admission.rs
+++ b/crates/gateway/src/edge/admission.rs
@@ -33,14 +33,14 @@
 ) -> QuotaRequest {
     let program = call.program.as_ref();
     let is_turn = matches!(route.kind, CallKind::Stream { .. });
-    let has_begun = program.is_some_and(|program| {
+    let has_started = program.is_some_and(|program| {
         call.previous_turn.is_some() || edge.affinity.borrow().contains_key(&program.id)
     });
     QuotaRequest {
         customer: name.to_string(),
         program: program.map(|program| program.id.clone()),
         requests: 1,
-        quota_purpose: match has_begun {
+        quota_purpose: match has_started {
             true => QuotaPurpose::ContinueProgram,
             false => QuotaPurpose::StartProgram,
         },
@@ -57,11 +57,11 @@
 /// Refusal for a missing or stale configuration. If there is no quorum either, this instance is
 /// cut off or has just started, and Retry-After depends on which.
 fn stale_configuration(edge: &Edge) -> Refusal {
-    let retry_ms = match edge.members.contact().has_quorum(now_ms()) {
+    let retry_after_ms = match edge.members.contact().has_quorum(now_ms()) {
         true => STALE_RETRY_AFTER_MS,
-        false => edge.members.retry_ms(),
+        false => edge.members.retry_after_ms(),
     };
-    Refusal::retry_later("configuration_old", retry_ms)
+    Refusal::retry_later("configuration_old", retry_after_ms)
 }
 
 /// Finds the route of a request. Status 404 is returned only while the configuration is recent:
@@ -139,7 +139,7 @@
 }
 
 /// Refuses a request early if it needs the storage group and the contact with it is lost. Budgets
-/// and kept turns need a quorum; a rate-limit token needs one member.
+/// and stored turns need a quorum; a rate-limit token needs one member.
 pub(crate) fn check_group(
     edge: &Edge,
     route: &Route,
@@ -151,18 +151,20 @@
         .as_ref()
         .and_then(|program| program.budget_tokens);
     let is_stream = matches!(route.kind, CallKind::Stream { .. });
-    let needs_quorum = is_stream && (budget.is_some() || route.keeps_turns);
+    let needs_quorum = is_stream && (budget.is_some() || route.stores_turns);
     let contact = edge.members.contact();
     let now_ms = now_ms();
     match (needs_quorum, needs_quota) {
-        (true, _) if !contact.has_quorum(now_ms) => {
-            Err(Refusal::retry_later("group_lost", edge.members.retry_ms())
-                .closing_connection())
-        }
-        (false, true) if !contact.has_member(now_ms) => {
-            Err(Refusal::retry_later("group_lost", edge.members.retry_ms())
-                .closing_connection())
-        }
+        (true, _) if !contact.has_quorum(now_ms) => Err(Refusal::retry_later(
+            "group_lost",
+            edge.members.retry_after_ms(),
+        )
+        .closing_connection()),
+        (false, true) if !contact.has_member(now_ms) => Err(Refusal::retry_later(
+            "group_lost",
+            edge.members.retry_after_ms(),
+        )
+        .closing_connection()),
         _ => Ok(()),
     }
 }
@@ -176,7 +178,7 @@
     if hyper::body::Body::is_end_stream(&body) {
         return Ok(Bytes::new());
     }
-    let limited = Limited::new(body, configuration.limits.body_bytes);
+    let limited = Limited::new(body, configuration.limits.max_body_bytes);
     let reading =
         tokio::time::timeout(Duration::from_millis(timeout_ms), limited.collect());
     match reading.await {
--- a/crates/gateway/src/edge/body.rs
+++ b/crates/gateway/src/edge/body.rs
@@ -25,7 +25,7 @@
 pub(crate) enum BodyChunk {
     /// Bytes to send to the caller.
     Data(Bytes),
-    /// The body is complete. Without it, the caller gets an interrupted body.
+    /// The body is complete. Without it, the caller receives an interrupted body.
     End,
 }
 
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub(crate) enum CallBody {
     /// All bytes are known. `None` for an empty body, or once they have been sent.
-    Whole(Option<Bytes>),
+    Buffered(Option<Bytes>),
     /// Bytes are forwarded as the endpoint sends them. If the channel closes before
     /// `BodyChunk::End`, the body ends with an error.
     Streamed(mpsc::Receiver<BodyChunk>),
@@ -48,7 +48,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyInterrupted>>> {
         let next = match self.get_mut() {
-            CallBody::Whole(content) => {
+            CallBody::Buffered(content) => {
                 content.take().map(|content| Ok(Frame::data(content)))
             }
             CallBody::Streamed(chunks) => match ready!(chunks.poll_recv(context)) {
@@ -61,12 +61,12 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, CallBody::Whole(None))
+        matches!(self, CallBody::Buffered(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            CallBody::Whole(content) => {
+            CallBody::Buffered(content) => {
                 let length = content.as_ref().map_or(0, Bytes::len);
                 SizeHint::with_exact(u64::try_from(length).unwrap_or(u64::MAX))
             }
--- a/crates/gateway/src/edge/call.rs
+++ b/crates/gateway/src/edge/call.rs
@@ -302,7 +302,7 @@
     let content = collected.ok()?.ok()?.to_bytes();
     let headers = edge.protocol.caller_headers(&upstream.headers);
     upstream.connection.release();
-    let mut response = Response::new(CallBody::Whole(Some(content)));
+    let mut response = Response::new(CallBody::Buffered(Some(content)));
     *response.status_mut() = upstream.status;
     *response.headers_mut() = headers;
     Some(response)
@@ -360,7 +360,7 @@
         edge.return_token(customer, admitted.token);
     })?;
     admitted.outgoing.body = prompt;
-    let unfinished_turn = admitted.route.keeps_turns.then(|| TurnRecord {
+    let unfinished_turn = admitted.route.stores_turns.then(|| TurnRecord {
         turn: admitted.call.request_id.clone(),
         customer: admitted.outgoing.customer.clone().unwrap_or_default(),
         previous: admitted.call.previous_turn.clone(),
@@ -378,13 +378,13 @@
 }
 
 /// Builds the prompt of a turn from the conversation's history and the new input. On routes that
-/// do not keep turns the body is the prompt.
+/// do not store turns the body is the prompt.
 async fn assemble_prompt(
     edge: &Rc<Edge>,
     admitted: &AdmittedCall,
 ) -> Result<Bytes, Refusal> {
     let input = &admitted.outgoing.body;
-    if !admitted.route.keeps_turns {
+    if !admitted.route.stores_turns {
         return Ok(input.clone());
     }
     let mut chain = Vec::new();
--- a/crates/gateway/src/edge/exchange.rs
+++ b/crates/gateway/src/edge/exchange.rs
@@ -14,7 +14,7 @@
 use crate::edge::Edge;
 use crate::edge::pool::idle_ms;
 use crate::http_connection::{HttpConnection, SendError};
-use crate::protocol::{EndpointHeaders, EndpointReply};
+use crate::protocol::{EndpointHeaders, EndpointResponseHead};
 use crate::retry::Outcome;
 
 /// Connect timeout to an endpoint, in milliseconds: many times the round trip and handshake
@@ -62,7 +62,7 @@
     edge: Rc<Edge>,
     key: EndpointKey,
     /// `None` until the head of the response has arrived.
-    link: Option<HttpConnection>,
+    http_connection: Option<HttpConnection>,
     /// How long the endpoint keeps the connection open while idle, in milliseconds.
     idle_ms: u64,
     /// Number of idle connections to keep to the endpoint.
@@ -72,9 +72,15 @@
 impl PooledConnection {
     /// Returns the connection to the pool. The response must have been read completely.
     pub(crate) fn release(mut self) {
-        if let Some(link) = self.link.take() {
+        if let Some(http_connection) = self.http_connection.take() {
             let mut pool = self.edge.pool.borrow_mut();
-            pool.put(now_ms(), self.key, link, self.idle_ms, self.max_idle);
+            pool.put(
+                now_ms(),
+                self.key,
+                http_connection,
+                self.idle_ms,
+                self.max_idle,
+            );
         }
     }
 
@@ -115,7 +121,7 @@
     let mut connection = PooledConnection {
         edge: Rc::clone(edge),
         key: pick.key,
-        link: None,
+        http_connection: None,
         idle_ms: 0,
         max_idle: outgoing.max_idle,
     };
@@ -123,8 +129,8 @@
     let exchange = exchange(edge, pick, outgoing, last_event_id, timeouts.time_left_ms);
     let sent = tokio::time::timeout(timeout, exchange).await;
     let response = match sent {
-        Ok(Ok((link, response))) => {
-            connection.link = Some(link);
+        Ok(Ok((http_connection, response))) => {
+            connection.http_connection = Some(http_connection);
             response
         }
         Ok(Err(SendError::NotSent(reason))) => {
@@ -170,18 +176,19 @@
         build_request(edge, pick, outgoing, last_event_id, time_left_ms)
     };
     let idle = edge.pool.borrow_mut().take(now_ms(), pick.key);
-    if let Some(mut link) = idle {
-        match link.send(request()).await {
+    if let Some(mut http_connection) = idle {
+        match http_connection.send(request()).await {
             // The endpoint may have closed the connection while it was idle, so a new one is
             // tried next. Nothing was sent, so the request cannot run twice.
             Err(SendError::NotSent(_)) => {}
-            response => return response.map(|response| (link, response)),
+            response => return response.map(|response| (http_connection, response)),
         }
     }
     let connected = HttpConnection::connect(pick.address, CONNECT_TIMEOUT_MS).await;
-    let mut link = connected.map_err(|error| SendError::NotSent(error.to_string()))?;
-    let response = link.send(request()).await?;
-    Ok((link, response))
+    let mut http_connection =
+        connected.map_err(|error| SendError::NotSent(error.to_string()))?;
+    let response = http_connection.send(request()).await?;
+    Ok((http_connection, response))
 }
 
 /// Suspends an endpoint in the balancer until it accepts a connection again. Does nothing if it
@@ -199,11 +206,15 @@
             }
             let connected =
                 HttpConnection::connect(pick.address, CONNECT_TIMEOUT_MS).await;
-            if let Ok(link) = connected {
+            if let Ok(http_connection) = connected {
                 log::info!("event=endpoint_reachable endpoint={}", pick.id);
-                edge.pool
-                    .borrow_mut()
-                    .put(now_ms(), pick.key, link, FRESH_IDLE_MS, 1);
+                edge.pool.borrow_mut().put(
+                    now_ms(),
+                    pick.key,
+                    http_connection,
+                    FRESH_IDLE_MS,
+                    1,
+                );
                 edge.balancer.borrow_mut().resume(pick.key);
                 return;
             }
@@ -243,7 +254,7 @@
     mut connection: PooledConnection,
 ) -> Result<EndpointResponse, Outcome> {
     let (parts, body) = response.into_parts();
-    let reply = edge.protocol.decode_reply(&parts.headers);
+    let reply = edge.protocol.decode_response_head(&parts.headers);
     if let Some(load) = reply.load {
         let mut balancer = edge.balancer.borrow_mut();
         balancer.report(now_ms(), pick.key, load);
@@ -289,7 +300,7 @@
 /// explicitly; otherwise the outcome is unknown. 421 always means that another endpoint received
 /// the request.
 fn classify_response(
-    reply: &EndpointReply,
+    reply: &EndpointResponseHead,
     status: StatusCode,
     request_id: &str,
 ) -> Option<Outcome> {
--- a/crates/gateway/src/edge/listen.rs
+++ b/crates/gateway/src/edge/listen.rs
@@ -181,8 +181,10 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         // hyper applies this timeout also while the connection is idle.
-        .header_read_timeout(Duration::from_millis(limits.idle_ms.max(limits.head_ms)))
-        .max_buf_size(limits.head_bytes.max(MIN_HEAD_BUFFER_BYTES))
+        .header_read_timeout(Duration::from_millis(
+            limits.idle_timeout_ms.max(limits.head_timeout_ms),
+        ))
+        .max_buf_size(limits.max_head_bytes.max(MIN_HEAD_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     let stop = stopping.wait_for(|stopping| *stopping);
--- a/crates/gateway/src/edge/members.rs
+++ b/crates/gateway/src/edge/members.rs
@@ -1,5 +1,5 @@
 //! Client of the storage group: the requests of an entry instance to the members, which are
-//! instances with disks.
+//! storage instances.
 //!
 //! Requests about turns and budgets need responses from several members, all in the same
 //! version of the group; those about rate limits, the configuration, endpoints and presence need one
@@ -161,7 +161,7 @@
             .send_request(member, group_version, request, timeout_ms)
             .await;
         if response.is_ok() {
-            self.contact.borrow_mut().note_member(now_ms());
+            self.contact.borrow_mut().record_member_response(now_ms());
         }
         response
     }
@@ -172,18 +172,18 @@
     }
 
     /// Records that the metadata store responded to this instance.
-    pub(crate) fn note_store(&self) {
-        self.contact.borrow_mut().note_store(now_ms());
+    pub(crate) fn record_store_response(&self) {
+        self.contact.borrow_mut().record_store_response(now_ms());
     }
 
     /// Retry-After for a request that needs the group while contact with it is lost, in
     /// milliseconds.
-    pub fn retry_ms(&self) -> u64 {
+    pub fn retry_after_ms(&self) -> u64 {
         let group = self.group();
         let mut members = group.members.iter();
         let has_near_member =
             members.any(|member| member.availability_zone == self.availability_zone);
-        self.contact().retry_ms(now_ms(), has_near_member)
+        self.contact().retry_after_ms(now_ms(), has_near_member)
     }
 
     /// Requests the status of all members, to count those that vote, if no quorum has responded
@@ -228,7 +228,7 @@
                 _ => {}
             }
             if voting >= group.quorum() {
-                self.contact.borrow_mut().note_quorum(now_ms());
+                self.contact.borrow_mut().record_quorum_response(now_ms());
                 return;
             }
         }
@@ -264,7 +264,7 @@
                 _ => {}
             }
             if count >= group.quorum() {
-                self.contact.borrow_mut().note_quorum(now_ms());
+                self.contact.borrow_mut().record_quorum_response(now_ms());
                 return Ok(());
             }
         }
--- a/crates/gateway/src/edge/mod.rs
+++ b/crates/gateway/src/edge/mod.rs
@@ -78,9 +78,9 @@
     pub affinity: RefCell<HashMap<String, String>>,
     /// Set once a list of endpoints has been received, even an empty one.
     has_endpoints: Cell<bool>,
-    /// Most entry instances of the zone have lost contact with its member. The load balancer
+    /// Fewer than half of the entry instances of the zone have contact with its member. The load balancer
     /// should then send callers to other zones.
-    is_zone_mostly_disconnected: Cell<bool>,
+    is_zone_majority_absent: Cell<bool>,
     /// A graceful shutdown has begun.
     is_stopping: Cell<bool>,
     /// Limits the log lines for successful responses. Those beyond it are only counted.
@@ -119,7 +119,7 @@
             turns: RefCell::default(),
             affinity: RefCell::default(),
             has_endpoints: Cell::new(false),
-            is_zone_mostly_disconnected: Cell::new(false),
+            is_zone_majority_absent: Cell::new(false),
             is_stopping: Cell::new(false),
             response_log_budget: RefCell::default(),
             metrics: Metrics::new(),
@@ -143,7 +143,7 @@
         let revocation_ms = self.settings.bounds.revocation_ms;
         !self.is_stopping.get()
             && self.has_endpoints.get()
-            && !self.is_zone_mostly_disconnected.get()
+            && !self.is_zone_majority_absent.get()
             && self.configuration_revision.get() > 0
             && self.members.contact().is_ready(now_ms())
             && self.freshness.borrow().admits(now_ms(), revocation_ms)
--- a/crates/gateway/src/edge/pool.rs
+++ b/crates/gateway/src/edge/pool.rs
@@ -17,7 +17,7 @@
 /// A connection that carries no request.
 #[derive(Debug)]
 struct IdleConnection {
-    link: HttpConnection,
+    connection: HttpConnection,
     usable_until_ms: u64,
 }
 
@@ -37,8 +37,8 @@
     ) -> Option<HttpConnection> {
         let idle = self.idle.get_mut(&key)?;
         while let Some(last) = idle.pop() {
-            if last.usable_until_ms > now_ms && last.link.is_ready() {
-                return Some(last.link);
+            if last.usable_until_ms > now_ms && last.connection.is_ready() {
+                return Some(last.connection);
             }
         }
         None
@@ -50,18 +50,18 @@
         &mut self,
         now_ms: u64,
         key: EndpointKey,
-        link: HttpConnection,
+        connection: HttpConnection,
         idle_ms: u64,
         max_idle: usize,
     ) {
         let usable_until_ms = now_ms + idle_ms.saturating_sub(IDLE_MARGIN_MS);
         let idle = self.idle.entry(key).or_default();
         if idle.len() >= max_idle {
-            link.close();
+            connection.close();
             return;
         }
         idle.push(IdleConnection {
-            link,
+            connection,
             usable_until_ms,
         });
     }
@@ -69,7 +69,9 @@
     /// Closes expired connections and those of endpoints for which `is_known` is false.
     pub(crate) fn sweep(&mut self, now_ms: u64, is_known: impl Fn(EndpointKey) -> bool) {
         self.idle.retain(|key, idle| {
-            idle.retain(|idle| idle.usable_until_ms > now_ms && !idle.link.is_closed());
+            idle.retain(|idle| {
+                idle.usable_until_ms > now_ms && !idle.connection.is_closed()
+            });
             !idle.is_empty() && is_known(*key)
         });
     }
--- a/crates/gateway/src/edge/stream.rs
+++ b/crates/gateway/src/edge/stream.rs
@@ -23,7 +23,7 @@
 
 /// Events buffered for a caller that reads slowly. Reading from the endpoint stops while the
 /// buffer is full.
-const QUEUED_EVENTS: usize = 16;
+const MAX_QUEUED_EVENTS: usize = 16;
 
 /// Tokens reserved for a turn in its program's budget. Dropping it reports the tokens that were
 /// used to the members, which release the rest.
@@ -63,14 +63,14 @@
     /// `None` if the program has no token budget.
     reservation: Option<BudgetReservation>,
     /// The turn to store when the stream is complete, still without its output. `None` on routes
-    /// that do not keep turns.
+    /// that do not store turns.
     unfinished_turn: Option<TurnRecord>,
     attempt: Attempt,
     /// Identifiers of the endpoints to which it was sent, the current one last.
     tried: Vec<String>,
     /// Identifier of the last event queued for the caller. Another endpoint continues after it.
     last_event_id: Option<u64>,
-    /// Data of the events so far, if the turn is kept.
+    /// Data of the events so far, if the turn is to be stored.
     output: BytesMut,
 }
 
@@ -244,7 +244,7 @@
             first => {
                 let mut headers = call.edge.protocol.caller_headers(&upstream.headers);
                 headers.remove(CONTENT_LENGTH);
-                let (sender, receiver) = mpsc::channel(QUEUED_EVENTS);
+                let (sender, receiver) = mpsc::channel(MAX_QUEUED_EVENTS);
                 tokio::task::spawn_local(forward_events(call, stream, first, sender));
                 let mut response = Response::new(CallBody::Streamed(receiver));
                 *response.status_mut() = upstream.status;
@@ -268,7 +268,7 @@
         return Err(final_refusal(&call.admitted, Step::FailUnknown));
     };
     stream.connection.release();
-    let mut response = Response::new(CallBody::Whole(Some(collected.to_bytes())));
+    let mut response = Response::new(CallBody::Buffered(Some(collected.to_bytes())));
     *response.status_mut() = status;
     *response.headers_mut() = call.edge.protocol.caller_headers(&headers);
     Ok(response)
@@ -288,7 +288,7 @@
             StreamProgress::Events(events) => {
                 let (events, are_all_valid) = call.events_in_order(events);
                 if !queue_events(&mut call, events, &sender).await {
-                    return log_caller_gone(&call);
+                    return log_caller_disconnected(&call);
                 }
                 (!are_all_valid).then_some("events out of order")
             }
@@ -301,19 +301,19 @@
         };
         if let Some(reason) = interruption {
             let Some(resumed) = resume(&mut call, &stream, reason, &sender).await else {
-                call.edge.metrics.broken_off();
+                call.edge.metrics.stream_interrupted();
                 return;
             };
             stream = resumed;
         }
         next = tokio::select! {
             next = call.next(&mut stream) => next,
-            () = sender.closed() => return log_caller_gone(&call),
+            () = sender.closed() => return log_caller_disconnected(&call),
         };
     }
 }
 
-fn log_caller_gone(call: &StreamCall) {
+fn log_caller_disconnected(call: &StreamCall) {
     log::info!(
         "event=caller_gone request={} last_event={} elapsed_ms={}",
         call.admitted.call.request_id,
@@ -365,7 +365,7 @@
     }
 }
 
-/// Completes the stream. If the turn is kept, the caller gets the end of the body only after
+/// Completes the stream. If the turn is to be stored, the caller receives the end of the body only after
 /// enough members have stored the turn; if that fails, the body is interrupted.
 async fn finish(mut call: StreamCall, sender: &mpsc::Sender<BodyChunk>) {
     if let Some(mut record) = call.unfinished_turn.take() {
@@ -376,7 +376,7 @@
                 call.admitted.call.request_id,
                 call.edge.members.group().version
             );
-            call.edge.metrics.broken_off();
+            call.edge.metrics.stream_interrupted();
             return;
         }
         call.edge.turns.borrow_mut().insert(record);
--- a/crates/gateway/src/edge/sync.rs
+++ b/crates/gateway/src/edge/sync.rs
@@ -51,13 +51,13 @@
 const SWEEP_INTERVAL_MS: u64 = 1_000;
 
 /// Longest wait for a group after the start, in milliseconds. When the whole system starts for
-/// the first time, the group is founded only after the instances with disks have registered.
+/// the first time, the group is created only after the storage instances have registered.
 /// Configuration and endpoints are not read before that, since without a group nothing can be
 /// served.
-const FOUNDING_WAIT_MS: u64 = 3_000;
+const GROUP_WAIT_MS: u64 = 3_000;
 
 /// Interval at which this wait checks whether a group is known, in milliseconds.
-const FOUNDING_POLL_MS: u64 = 25;
+const GROUP_POLL_MS: u64 = 25;
 
 /// Starts all background tasks. They run until the process ends.
 pub(crate) fn start(edge: &Rc<Edge>) {
@@ -98,7 +98,7 @@
         }
         match edge.store.configuration(known).await {
             Ok(read) => {
-                edge.members.note_store();
+                edge.members.record_store_response();
                 edge.apply_configuration(began_ms, read);
                 log_store_transition(&mut is_reachable, None);
                 edge.store_backoff.borrow_mut().succeed();
@@ -114,11 +114,11 @@
     }
 }
 
-/// Waits until a group is known, but no longer than `FOUNDING_WAIT_MS`.
+/// Waits until a group is known, but no longer than `GROUP_WAIT_MS`.
 async fn wait_for_group(edge: &Edge) {
-    let until_ms = now_ms() + FOUNDING_WAIT_MS;
+    let until_ms = now_ms() + GROUP_WAIT_MS;
     while edge.members.group().version == 0 && now_ms() < until_ms {
-        pause(FOUNDING_POLL_MS).await;
+        pause(GROUP_POLL_MS).await;
     }
 }
 
@@ -182,10 +182,10 @@
                 );
                 self.configuration_revision.set(read.revision);
                 *self.configuration.borrow_mut() = Rc::new(configuration);
-                self.freshness.borrow_mut().prove(read_began_ms);
+                self.freshness.borrow_mut().confirm(read_began_ms);
             }
             _ if read.revision == known && known > 0 => {
-                self.freshness.borrow_mut().prove(read_began_ms);
+                self.freshness.borrow_mut().confirm(read_began_ms);
             }
             _ => {}
         }
@@ -283,7 +283,7 @@
         }
         match edge.store.internal_records(GROUP_RECORD, true).await {
             Ok(records) => {
-                edge.members.note_store();
+                edge.members.record_store_response();
                 let record = records.iter().find(|record| record.name == GROUP_RECORD);
                 if let Some(record) = record {
                     adopt_record(&edge, &record.content);
@@ -344,21 +344,17 @@
     }
 }
 
-/// Reports the presence of this instance to its zone's member, and learns from the reply whether
-/// most entry instances of the zone have lost contact.
+/// Reports the presence of this instance to its zone's member, and reads from the response whether
+/// fewer than half of the entry instances of the zone are present.
 async fn follow_presence(edge: Rc<Edge>) {
     loop {
         pause(PRESENCE_INTERVAL_MS).await;
         let presence = edge.members.zone_presence(&edge.settings.name).await;
-        let is_mostly_disconnected = presence.is_some_and(is_majority_absent);
-        if is_mostly_disconnected
-            != edge
-                .is_zone_mostly_disconnected
-                .replace(is_mostly_disconnected)
-        {
+        let majority_absent = presence.is_some_and(is_majority_absent);
+        if majority_absent != edge.is_zone_majority_absent.replace(majority_absent) {
             let ZonePresence { known, present } = presence.unwrap_or_default();
             log::warn!(
-                "event=zone_presence mostly_away={is_mostly_disconnected} known={known} \
+                "event=zone_presence mostly_away={majority_absent} known={known} \
                  present={present}"
             );
         }
--- a/crates/gateway/src/edge/turn_cache.rs
+++ b/crates/gateway/src/edge/turn_cache.rs
@@ -7,8 +7,8 @@
 use bytes::{Bytes, BytesMut};
 use jayreel_ledger::TurnRecord;
 
-/// Size limit of the cache, in bytes: a few hundred conversations of ten turns of 3 KB.
-const MAX_BYTES: usize = 8 << 20;
+/// Maximum size of the cache, in bytes: a few hundred conversations of ten turns of 3 KB.
+const MAX_CACHE_BYTES: usize = 8 << 20;
 
 /// Turns by identifier. When the cache is full, the turns that were inserted first are evicted.
 #[derive(Debug, Default)]
@@ -31,7 +31,7 @@
         self.size_bytes += size_bytes(&record);
         self.insertion_order.push_back(record.turn.clone());
         self.turns.insert(record.turn.clone(), Rc::new(record));
-        while self.size_bytes > MAX_BYTES {
+        while self.size_bytes > MAX_CACHE_BYTES {
             let Some(oldest) = self.insertion_order.pop_front() else {
                 return;
             };
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! The two kinds of gateway process: entry instances and instances with a disk.
+//! The two kinds of gateway process: entry instances and storage instances.
 //!
-//! An entry instance accepts callers' requests and forwards each one to an endpoint. An
-//! instance with a disk stores the state that must survive process restarts
-//! (`jayreel-ledger`). The instances with a disk that vote on this state form the group, and
+//! An entry instance accepts callers' requests and forwards each one to an endpoint. A
+//! storage instance has a disk and stores the state that must survive process restarts
+//! (`jayreel-ledger`). The storage instances that vote on this state form the group, and
 //! each of them is a member of it; the others are spares. Both kinds of process run a single
 //! event loop on one thread, since they get a fraction of a core and each wake-up costs CPU
 //! time.
@@ -53,7 +53,8 @@
 pub use log_queue::{LineBudget, LogQueue, MAX_QUEUED_LINES, batch_lines};
 pub use presence::{PRESENCE_INTERVAL_MS, PresenceTracker, is_majority_absent};
 pub use protocol::{
-    BadRequest, CallHead, CallProtocol, EndpointHeaders, EndpointReply, Load, ProgramCall,
+    BadRequest, CallHead, CallProtocol, EndpointHeaders, EndpointResponseHead, Load,
+    ProgramCall,
 };
 pub use quota_buffer::{BufferedToken, QuotaBuffer};
 pub use retry::{Attempt, Outcome, RetryPolicy, Step};
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -1,4 +1,4 @@
-//! Multiplexed request-response connections to instances with a disk.
+//! Multiplexed request-response connections to storage instances.
 //!
 //! Messages are length-delimited frames encoded with postcard. capnp-rpc, which instances use
 //! among themselves elsewhere, sends each call and each release of a result as a message of its
@@ -37,7 +37,7 @@
 /// requests don't wait for an instance that is known to be unreachable.
 const RETRY_PAUSE_MS: u64 = 60;
 
-/// Why a request to an instance with a disk got no response.
+/// Why a request to a storage instance got no response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LinkError {
     /// No connection could be made, so the request was not sent.
@@ -185,7 +185,7 @@
 /// The pending response to a request.
 pub type ResponseFuture = LocalBoxFuture<'static, Result<MemberResponse, LinkError>>;
 
-/// Sends requests to instances with a disk. Tests replace it by a simulated group.
+/// Sends requests to storage instances. Tests replace it by a simulated group.
 pub trait MemberClient {
     /// Sends a request that is valid in one version of the group. A client that counts the
     /// responses of a quorum must count only those given in the same version.
@@ -215,7 +215,7 @@
     }
 }
 
-/// The clients of all instances with a disk that were contacted so far, by name.
+/// The clients of all storage instances that were contacted so far, by name.
 #[derive(Default)]
 pub(crate) struct LinkPool {
     by_name: RefCell<HashMap<String, Rc<Link>>>,
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -1,6 +1,6 @@
 //! Decides when the membership of the group should change.
 //!
-//! Instances with a disk that are not members are spares. A spare proposes itself as a
+//! Storage instances that are not members are spares. A spare proposes itself as a
 //! replacement for a member that is being retired or has not responded for a long time, or as
 //! an additional member if the group has room. A member that is being retired leaves on its
 //! own only if no spare replaces it. Each proposal is a conditional write of the group record,
@@ -13,7 +13,7 @@
 /// Name of the internal record that holds the group.
 pub(crate) const GROUP_RECORD: &str = "group";
 
-/// Prefix of the internal records in which instances with a disk register.
+/// Prefix of the internal records in which storage instances register.
 pub(crate) const MEMBER_RECORD_PREFIX: &str = "storage/";
 
 /// Time limit for the decision of a turn, in milliseconds. A turn that is not decided by then
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -126,7 +126,7 @@
     }
 
     /// Counts a stream that ended before it was complete.
-    pub(crate) fn broken_off(&self) {
+    pub(crate) fn stream_interrupted(&self) {
         self.broken.inc();
     }
 
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -22,7 +22,7 @@
     /// Last event that the caller received, if it resumes a stream.
     pub last_event_id: Option<u64>,
     /// Upper bound of the tokens that the request generates, if it sets one.
-    pub most_tokens: Option<u32>,
+    pub max_tokens: Option<u32>,
     /// The program of the request, if it belongs to one.
     pub program: Option<ProgramCall>,
     /// Identifier of the turn that this one continues, if any.
@@ -32,7 +32,7 @@
 impl CallHead {
     /// Number of tokens to reserve for the request.
     pub fn reserved_tokens(&self) -> u32 {
-        self.most_tokens.unwrap_or(DEFAULT_RESERVED_TOKENS)
+        self.max_tokens.unwrap_or(DEFAULT_RESERVED_TOKENS)
     }
 }
 
@@ -88,7 +88,7 @@
 
 /// The decoded head of an endpoint's response.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct EndpointReply {
+pub struct EndpointResponseHead {
     /// Identifier of the request to which it responds, if it names one.
     pub request_id: Option<String>,
     /// The endpoint guarantees that it has not run the request and never will.
@@ -119,7 +119,7 @@
     ) -> HeaderMap;
 
     /// Decodes the head of an endpoint's response.
-    fn decode_reply(&self, headers: &HeaderMap) -> EndpointReply;
+    fn decode_response_head(&self, headers: &HeaderMap) -> EndpointResponseHead;
 
     /// Builds the response headers for the caller from the endpoint's, without the
     /// connection-specific ones.
--- a/crates/gateway/src/retry.rs
+++ b/crates/gateway/src/retry.rs
@@ -12,7 +12,7 @@
 /// Response timeout of a send that may be repeated, as a multiple of the route's target latency.
 /// It applies while another attempt is left. Endpoints can lose a response or hang without closing
 /// the connection.
-const TIMEOUT_TARGETS: u64 = 4;
+const RESPONSE_TIMEOUT_TARGETS: u64 = 4;
 
 /// Lower bound of that timeout, in milliseconds, so that a short queue is not taken for a lost
 /// response.
@@ -79,7 +79,7 @@
         match is_last || !policy.kind.may_run_again() {
             true => time_left_ms,
             false => {
-                let response_timeout_ms = TIMEOUT_TARGETS * target_ms;
+                let response_timeout_ms = RESPONSE_TIMEOUT_TARGETS * target_ms;
                 response_timeout_ms.max(MIN_TIMEOUT_MS).min(time_left_ms)
             }
         }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -12,9 +12,9 @@
     pub name: String,
     /// Its availability zone.
     pub availability_zone: String,
-    /// Address on which callers connect. None on an instance with a disk.
+    /// Address on which callers connect. None on a storage instance.
     pub front: Option<SocketAddr>,
-    /// Address of the readiness check for the load balancer. None on an instance with a disk.
+    /// Address of the readiness check for the load balancer. None on a storage instance.
     pub ready: Option<SocketAddr>,
     /// Address on which other instances connect.
     pub internal: SocketAddr,
--- a/crates/gateway/src/storage/maintenance.rs
+++ b/crates/gateway/src/storage/maintenance.rs
@@ -326,8 +326,10 @@
     process.apply(Event::GroupReceived(group.clone()));
     process.has_read_group.set(true);
     let retiring = process.store.retirements().await?;
-    let retiring: Vec<String> =
-        retiring.into_iter().map(|order| order.instance).collect();
+    let retiring: Vec<String> = retiring
+        .into_iter()
+        .map(|retirement| retirement.instance)
+        .collect();
     let own_member = process.as_member();
     let is_spare = !group.contains(&own_member.name);
     let is_retiring = retiring.contains(&own_member.name);
--- a/crates/gateway/src/storage/node.rs
+++ b/crates/gateway/src/storage/node.rs
@@ -101,7 +101,7 @@
     /// Whether the whole system starts for the first time and the log was empty.
     is_first_start: bool,
     pub(super) state: LedgerState,
-    /// The newest group known. Version 0 without members until one is learned.
+    /// The newest group known. Version 0 without members until one is received.
     pub(super) group: Group,
     /// Role of this instance in `group`.
     pub(super) membership: MembershipState,
@@ -176,7 +176,7 @@
         }
     }
 
-    /// The newest group known. Version 0 without members until one is learned.
+    /// The newest group known. Version 0 without members until one is received.
     pub fn group(&self) -> &Group {
         &self.group
     }
@@ -222,7 +222,7 @@
                 request,
             } => self.handle_request(now_ms, connection, request),
             Event::Synced { through } => self.release_replies(through),
-            Event::GroupReceived(group) => self.learn_group(now_ms, group),
+            Event::GroupReceived(group) => self.adopt_group(now_ms, group),
             Event::RecordsCopied {
                 source,
                 records,
@@ -310,7 +310,7 @@
     }
 
     /// Switches to a group if it is newer than the one known.
-    pub(super) fn learn_group(&mut self, now_ms: u64, group: Group) -> Vec<Effect> {
+    pub(super) fn adopt_group(&mut self, now_ms: u64, group: Group) -> Vec<Effect> {
         if group.version <= self.group.version {
             return Vec::new();
         }
@@ -392,7 +392,7 @@
     }
 
     /// Takes over the result of a read if its configuration is newer. If the revision read is
-    /// then the known one, the read proves that it was the newest when the read began.
+    /// then the known one, the read confirms that it was the newest when the read began.
     fn apply_configuration(
         &mut self,
         now_ms: u64,
@@ -412,7 +412,7 @@
             _ => {}
         }
         if revision == self.configuration_revision {
-            self.freshness.prove(read_began_ms);
+            self.freshness.confirm(read_began_ms);
         }
     }
 }
--- a/crates/gateway/src/storage/requests.rs
+++ b/crates/gateway/src/storage/requests.rs
@@ -59,7 +59,7 @@
                 self.merge_and_reply(now_ms, &shared, to, reply(MemberResponse::Done))
             }
             MemberRequest::AdoptGroup(group) => {
-                let mut effects = self.learn_group(now_ms, group);
+                let mut effects = self.adopt_group(now_ms, group);
                 effects.push(reply_now(MemberResponse::Done));
                 effects
             }
--- a/crates/gateway/tests/balance.rs
+++ b/crates/gateway/tests/balance.rs
@@ -141,11 +141,11 @@
 
 /// Sends a request every 5 ms for ten seconds. The endpoint `faulty` fails three of five requests
 /// immediately; all other requests take 100 ms. Returns the fraction of failed requests, which are
-/// reported to the balancer with `note_error`.
+/// reported to the balancer with `record_error`.
 fn error_fraction(
     entries: &[(&str, &str)],
     faulty: &str,
-    note_error: fn(&mut Balancer, u64, EndpointKey),
+    record_error: fn(&mut Balancer, u64, EndpointKey),
 ) -> f64 {
     let mut balancer = balancer(entries);
     let mut running: Vec<(u64, EndpointKey)> = Vec::new();
@@ -164,7 +164,7 @@
         match pick.id == faulty && sent % 5 < 3 {
             true => {
                 errors += 1;
-                note_error(&mut balancer, now_ms, pick.key);
+                record_error(&mut balancer, now_ms, pick.key);
             }
             false => {
                 balancer.begin(pick.key);
@@ -183,10 +183,10 @@
 #[test_case(Balancer::record_error_response)]
 #[test_case(Balancer::fail)]
 fn fast_failing_endpoint_does_not_attract_requests(
-    note_error: fn(&mut Balancer, u64, EndpointKey),
+    record_error: fn(&mut Balancer, u64, EndpointKey),
 ) {
     let entries = ["one", "two", "three", "four", "faulty"].map(|id| (id, "a"));
-    let fraction = error_fraction(&entries, "faulty", note_error);
+    let fraction = error_fraction(&entries, "faulty", record_error);
     assert!(fraction < 0.02, "{fraction}");
 }
 
--- a/crates/gateway/tests/contact.rs
+++ b/crates/gateway/tests/contact.rs
@@ -9,18 +9,19 @@
 fn partitioned_instance_detects_the_loss_of_the_quorum() {
     let mut contact = GroupContact::default();
     assert!(!contact.has_quorum(0));
-    contact.note_quorum(1_000);
+    contact.record_quorum_response(1_000);
     assert!(
         contact.has_quorum(1_250),
         "a single probe that timed out is not enough"
     );
     assert!(!contact.has_quorum(2_000));
     assert!(
-        contact.retry_ms(1_500, false) >= 800 && contact.retry_ms(2_000, false) >= 800,
+        contact.retry_after_ms(1_500, false) >= 800
+            && contact.retry_after_ms(2_000, false) >= 800,
         "the load balancer needs longer than that"
     );
     assert!(
-        contact.retry_ms(60_000, false) <= 1_000,
+        contact.retry_after_ms(60_000, false) <= 1_000,
         "at most a third of the three seconds that callers have"
     );
     assert!(contact.is_ready(1_250));
@@ -36,8 +37,8 @@
 #[test]
 fn callers_of_an_isolated_instance_retry_at_once() {
     let mut contact = GroupContact::default();
-    contact.note_quorum(1_000);
-    assert!(contact.retry_ms(3_000, true) <= 100);
+    contact.record_quorum_response(1_000);
+    assert!(contact.retry_after_ms(3_000, true) <= 100);
 }
 
 /// Five seconds after a zone was partitioned, callers with open connections still received a
@@ -45,11 +46,11 @@
 #[test]
 fn callers_retry_at_once_after_the_load_balancer_has_acted() {
     let mut contact = GroupContact::default();
-    contact.note_quorum(1_000);
+    contact.record_quorum_response(1_000);
     assert!(!contact.is_out_of_rotation(3_000));
-    contact.note_member(5_900);
+    contact.record_member_response(5_900);
     assert!(contact.is_out_of_rotation(6_000));
-    assert!(contact.retry_ms(6_000, true) <= 100);
+    assert!(contact.retry_after_ms(6_000, true) <= 100);
 }
 
 /// The zone's member still responds, so the whole zone is partitioned and other instances of it
@@ -57,26 +58,26 @@
 #[test]
 fn callers_of_a_partitioned_zone_wait_for_the_load_balancer() {
     let mut contact = GroupContact::default();
-    contact.note_quorum(1_000);
-    contact.note_member(1_900);
-    assert!(contact.retry_ms(2_000, true) >= 800);
+    contact.record_quorum_response(1_000);
+    contact.record_member_response(1_900);
+    assert!(contact.retry_after_ms(2_000, true) >= 800);
 }
 
-/// All instances with a disk lost power for two seconds. Each entry instance considered itself
+/// All storage instances lost power for two seconds. Each entry instance considered itself
 /// isolated, so callers retried at once and used up their attempts.
 #[test]
 fn callers_wait_while_all_members_are_down() {
     let mut contact = GroupContact::default();
-    contact.note_quorum(1_000);
-    contact.note_store(1_900);
-    assert!(contact.retry_ms(2_500, true) >= 800);
+    contact.record_quorum_response(1_000);
+    contact.record_store_response(1_900);
+    assert!(contact.retry_after_ms(2_500, true) >= 800);
     assert!(
-        contact.retry_ms(4_500, true) >= 800,
+        contact.retry_after_ms(4_500, true) >= 800,
         "other zones can't serve callers either"
     );
-    contact.note_quorum(5_000);
+    contact.record_quorum_response(5_000);
     assert!(
-        contact.retry_ms(7_000, true) <= 100,
+        contact.retry_after_ms(7_000, true) <= 100,
         "the store responded before the loss"
     );
 }
@@ -86,26 +87,26 @@
 #[test]
 fn callers_of_a_starting_instance_retry_soon() {
     let contact = GroupContact::default();
-    assert!((100..=400).contains(&contact.retry_ms(1_000, true)));
+    assert!((100..=400).contains(&contact.retry_after_ms(1_000, true)));
 }
 
 #[test]
 fn response_from_one_member_is_no_quorum() {
     let mut contact = GroupContact::default();
-    contact.note_member(1_000);
+    contact.record_member_response(1_000);
     assert!(contact.has_member(1_100));
     assert!(!contact.has_quorum(1_100));
 }
 
-/// A key revoked after the last proof of freshness must not be accepted for longer than agreed.
+/// A key revoked after the configuration was last confirmed must not be accepted for longer than agreed.
 #[test]
 fn stale_configuration_admits_no_requests() {
     let mut freshness = Freshness::default();
     assert!(!freshness.admits(0, 5_000));
-    freshness.prove(10_000);
+    freshness.confirm(10_000);
     assert!(freshness.admits(14_000, 5_000));
     assert!(!freshness.admits(15_000, 5_000));
-    freshness.prove(9_000);
+    freshness.confirm(9_000);
     assert_eq!(
         freshness.age_ms(10_000),
         Some(0),
--- a/crates/gateway/tests/members.rs
+++ b/crates/gateway/tests/members.rs
@@ -51,8 +51,8 @@
 }
 
 impl Cluster {
-    /// Makes the named instances learn a group.
-    fn learn(&self, names: &[&str], group: &Group) {
+    /// Announces a group to the named instances.
+    fn adopt(&self, names: &[&str], group: &Group) {
         for name in names {
             let mut nodes = self.nodes.borrow_mut();
             let node = nodes.get_mut(*name).expect("an instance");
@@ -164,9 +164,9 @@
     cluster.nodes.borrow_mut().extend(nodes);
     let first = first_group();
     let second = first.replace(Some("g1"), Some(member("h3")));
-    cluster.learn(&names, &first);
-    cluster.learn(&["h1", "h2", "h3", "h4", "k1"], &second);
-    cluster.learn(&["h1", "h2", "h3", "h4", "k1"], &last_group());
+    cluster.adopt(&names, &first);
+    cluster.adopt(&["h1", "h2", "h3", "h4", "k1"], &second);
+    cluster.adopt(&["h1", "h2", "h3", "h4", "k1"], &last_group());
     Rc::new(cluster)
 }
 
@@ -178,7 +178,7 @@
     members
 }
 
-/// An entry instance that uses version 1 of the group, and learns version 3 while its first
+/// An entry instance that uses version 1 of the group, and receives version 3 while its first
 /// request is under way.
 async fn interrupted_entry(cluster: &Rc<Cluster>) -> Rc<Members> {
     let members = entry(cluster);
@@ -232,7 +232,7 @@
 #[tokio::test(flavor = "current_thread")]
 async fn turn_is_stored_while_the_group_changes() {
     let cluster = changed_cluster();
-    cluster.learn(&["g1", "g2"], &last_group());
+    cluster.adopt(&["g1", "g2"], &last_group());
     LocalSet::new()
         .run_until(async {
             let members = entry(&cluster);
