--- a/crates/gateway/src/contact.rs
+++ b/crates/gateway/src/contact.rs
@@ -36,10 +36,10 @@
 /// enough to open a new connection.
 const OTHER_INSTANCE_RETRY_AFTER_MS: u64 = 100;
 
-/// Time without a quorum after which an instance that receives no response from any member considers itself
-/// the only one that is cut off, in milliseconds. By then it has tried to read the
-/// configuration from the store, since no member sends it, so a response of the store would be
-/// known.
+/// Time without a quorum after which an instance that receives no response from any member
+/// considers itself the only one that is cut off, in milliseconds. By then it has tried to read
+/// the configuration from the store, since no member sends it, so a response of the store would
+/// be known.
 const ISOLATED_AFTER_MS: u64 = 1_200;
 
 /// Retry-After of an instance that has received no responses from a quorum since its start, in
--- a/crates/gateway/src/edge/exchange.rs
+++ b/crates/gateway/src/edge/exchange.rs
@@ -254,13 +254,13 @@
     mut connection: PooledConnection,
 ) -> Result<EndpointResponse, Outcome> {
     let (parts, body) = response.into_parts();
-    let reply = edge.protocol.decode_response_head(&parts.headers);
-    if let Some(load) = reply.load {
+    let head = edge.protocol.decode_response_head(&parts.headers);
+    if let Some(load) = head.load {
         let mut balancer = edge.balancer.borrow_mut();
         balancer.report(now_ms(), pick.key, load);
     }
     connection.idle_ms = idle_ms(&parts.headers);
-    let outcome = match classify_response(&reply, parts.status, &outgoing.request_id) {
+    let outcome = match classify_response(&head, parts.status, &outgoing.request_id) {
         Some(outcome) => outcome,
         None => {
             return Ok(EndpointResponse {
@@ -300,21 +300,21 @@
 /// explicitly; otherwise the outcome is unknown. 421 always means that another endpoint received
 /// the request.
 fn classify_response(
-    reply: &EndpointResponseHead,
+    head: &EndpointResponseHead,
     status: StatusCode,
     request_id: &str,
 ) -> Option<Outcome> {
-    let is_for_request = reply.request_id.as_deref() == Some(request_id);
+    let is_for_request = head.request_id.as_deref() == Some(request_id);
     let needs_not_run_header = matches!(status.as_u16(), 408 | 421 | 429 | 503);
     match status {
-        _ if reply.request_id.is_some() && !is_for_request => Some(Outcome::Unknown),
+        _ if head.request_id.is_some() && !is_for_request => Some(Outcome::Unknown),
         StatusCode::MISDIRECTED_REQUEST => Some(Outcome::Misdirected),
-        _ if reply.has_not_run => Some(Outcome::Rejected),
+        _ if head.has_not_run => Some(Outcome::Rejected),
         _ if needs_not_run_header => Some(Outcome::Unknown),
-        status if status.is_success() && !(reply.is_signed && is_for_request) => {
+        status if status.is_success() && !(head.is_signed && is_for_request) => {
             Some(Outcome::Unknown)
         }
-        _ if reply.is_encoded || status.is_informational() => Some(Outcome::Unknown),
+        _ if head.is_encoded || status.is_informational() => Some(Outcome::Unknown),
         _ => None,
     }
 }
--- a/crates/gateway/src/edge/members.rs
+++ b/crates/gateway/src/edge/members.rs
@@ -1,8 +1,8 @@
 //! Client of the storage group: the requests of an entry instance to the members, which are
 //! storage instances.
 //!
-//! Requests about turns and budgets need responses from several members, all in the same
-//! version of the group; those about rate limits, the configuration, endpoints and presence need one
+//! Requests about turns and budgets need responses from several members, all in the same version
+//! of the group; those about rate limits, the configuration, endpoints and presence need one
 //! member.
 
 use std::cell::{Cell, RefCell};
@@ -56,8 +56,8 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct NoQuorum;
 
-/// Rejects a decision that took longer than `DECISION_TIMEOUT_MS`. A member may have responded, then
-/// lost its disk, and by now vote again without its record of that response.
+/// Rejects a decision that took longer than `DECISION_TIMEOUT_MS`. A member may have responded,
+/// then lost its disk, and by now vote again without its record of that response.
 fn check_decision_age(began_ms: u64, decision: Decision) -> Result<Decision, NoQuorum> {
     match now_ms() < began_ms + DECISION_TIMEOUT_MS {
         true => Ok(decision),
@@ -334,8 +334,9 @@
         }
     }
 
-    /// Reports the tokens that a turn actually used, without waiting for responses. If the message is
-    /// lost, the reservation stays, so the budget is charged too much but never too little.
+    /// Reports the tokens that a turn actually used, without waiting for responses. If the
+    /// message is lost, the reservation stays, so the budget is charged too much but never too
+    /// little.
     pub fn settle(self: &Rc<Self>, settlement: &Settlement) {
         let group = self.group();
         for member in &group.members {
@@ -403,8 +404,8 @@
         Ok(())
     }
 
-    /// Finds a turn and up to `max_chain_turns - 1` turns before it. Retried once if the group changed
-    /// in the meantime.
+    /// Finds a turn and up to `max_chain_turns - 1` turns before it. Retried once if the group
+    /// changed in the meantime.
     pub async fn chain(
         self: &Rc<Self>,
         turn: &str,
@@ -508,7 +509,8 @@
         self.configuration_of(&member, known_revision).await
     }
 
-    /// Reads the configuration from all members, one after another. Contains the responses received.
+    /// Reads the configuration from all members, one after another. Contains the responses
+    /// received.
     pub async fn configuration(&self, known_revision: u64) -> Vec<SharedConfiguration> {
         let mut found = Vec::new();
         for member in self.nearest_first("configuration") {
--- a/crates/gateway/src/edge/mod.rs
+++ b/crates/gateway/src/edge/mod.rs
@@ -70,16 +70,16 @@
     store_backoff: RefCell<Backoff>,
     /// Rate-limit tokens fetched in advance.
     quota: RefCell<QuotaBuffer>,
-    /// By customer: until when requests are refused without a request to the members, which have all
-    /// just replied that the customer has no tokens left.
+    /// By customer: until when requests are refused without a request to the members, which have
+    /// all just responded that the customer has no tokens left.
     refused_until_ms: RefCell<HashMap<String, u64>>,
     pub turns: RefCell<TurnCache>,
     /// By program: the endpoint that handled its last request. The next one prefers it.
     pub affinity: RefCell<HashMap<String, String>>,
     /// Set once a list of endpoints has been received, even an empty one.
     has_endpoints: Cell<bool>,
-    /// Fewer than half of the entry instances of the zone have contact with its member. The load balancer
-    /// should then send callers to other zones.
+    /// Fewer than half of the entry instances of the zone have contact with its member. The load
+    /// balancer should then send callers to other zones.
     is_zone_majority_absent: Cell<bool>,
     /// A graceful shutdown has begun.
     is_stopping: Cell<bool>,
--- a/crates/gateway/src/edge/quota.rs
+++ b/crates/gateway/src/edge/quota.rs
@@ -19,7 +19,7 @@
 /// until the next refill arrives, and slightly shorter than the lifetime of a token.
 const PREFETCH_MS: u64 = 250;
 
-/// After all members have replied that a customer has no tokens, its requests are refused for
+/// After all members have responded that a customer has no tokens, its requests are refused for
 /// this time without another request to the members, in milliseconds: about the time in which
 /// the rate of a customer with a low limit yields one token.
 const REFUSAL_CACHE_MS: u64 = 40;
@@ -53,7 +53,7 @@
         let until_ms = self.refused_until_ms.borrow().get(customer).copied();
         let is_paused = until_ms.is_some_and(|until_ms| now_ms() < until_ms);
         // A program may have started through another instance. Only the members know that, so a
-        // request of a program is always passed on to them.
+        // request of a program is always sent to them.
         if is_paused && quota_request.program.is_none() {
             return Err(over_rate(limit));
         }
--- a/crates/gateway/src/edge/stream.rs
+++ b/crates/gateway/src/edge/stream.rs
@@ -365,8 +365,8 @@
     }
 }
 
-/// Completes the stream. If the turn is to be stored, the caller receives the end of the body only after
-/// enough members have stored the turn; if that fails, the body is interrupted.
+/// Completes the stream. If the turn is to be stored, the caller receives the end of the body
+/// only after enough members have stored the turn; if that fails, the body is interrupted.
 async fn finish(mut call: StreamCall, sender: &mpsc::Sender<BodyChunk>) {
     if let Some(mut record) = call.unfinished_turn.take() {
         record.output = Bytes::from(std::mem::take(&mut call.output));
--- a/crates/gateway/src/edge/sync.rs
+++ b/crates/gateway/src/edge/sync.rs
@@ -34,7 +34,7 @@
 /// ago, in milliseconds: several reads of the store have failed by then.
 const MAX_UNCONFIRMED_AGE_MS: u64 = 2_000;
 
-/// Interval at which changes are of endpoints are requested from a member, in milliseconds. Together with
+/// Interval at which endpoint changes are requested from a member, in milliseconds. Together with
 /// the pause between the member's own calls, a draining endpoint is known within one second.
 const SHARED_ENDPOINTS_INTERVAL_MS: u64 = 250;
 
@@ -132,8 +132,8 @@
     *is_reachable = error.is_none();
 }
 
-/// Reads the configuration from all members if it has not been confirmed for `MAX_UNCONFIRMED_AGE_MS`:
-/// the metadata store may be reachable from them though not from here.
+/// Reads the configuration from all members if it has not been confirmed for
+/// `MAX_UNCONFIRMED_AGE_MS`: the metadata store may be reachable from them though not from here.
 async fn read_configuration_from_members(edge: &Rc<Edge>) {
     let age_ms = edge.freshness.borrow().age_ms(now_ms());
     if age_ms.is_some_and(|age_ms| age_ms < MAX_UNCONFIRMED_AGE_MS) {
@@ -147,8 +147,8 @@
 }
 
 impl Edge {
-    /// Applies a configuration that a member read. Its age counts back from `requested_ms`, when the
-    /// request was sent, so that it is never underestimated.
+    /// Applies a configuration that a member read. Its age counts back from `requested_ms`, when
+    /// the request was sent, so that it is never underestimated.
     fn apply_shared_configuration(&self, requested_ms: u64, found: SharedConfiguration) {
         let content = found.content.and_then(|content| {
             let decoded = self.store.decode_configuration(&content);
--- a/crates/gateway/src/http_connection.rs
+++ b/crates/gateway/src/http_connection.rs
@@ -25,7 +25,7 @@
 /// Time between two keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Number of unanswered keepalive probes after which the connection is closed.
+/// Number of keepalive probes without acknowledgment after which the connection is closed.
 const KEEPALIVE_RETRIES: u32 = 2;
 
 /// TCP user timeout: sent data that stays unacknowledged for this long closes the connection.
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -47,17 +47,17 @@
 
 /// What one instance observed about the members, as the basis for its proposals.
 #[derive(Debug, Default)]
-pub(crate) struct Watcher {
-    /// When a member's consecutive requests without a response began, by its name. No entry for members that
-    /// responded last time.
+pub(crate) struct MemberMonitor {
+    /// When a member's consecutive requests without a response began, by its name. No entry for
+    /// members that responded last time.
     silent_since_ms: HashMap<String, u64>,
     /// Since when this instance is a member that is being retired.
     retiring_since_ms: Option<u64>,
 }
 
-impl Watcher {
+impl MemberMonitor {
     /// Records whether a member responded to a status request.
-    pub(crate) fn note(&mut self, now_ms: u64, name: &str, has_responded: bool) {
+    pub(crate) fn record_status(&mut self, now_ms: u64, name: &str, has_responded: bool) {
         match has_responded {
             true => {
                 self.silent_since_ms.remove(name);
@@ -69,8 +69,8 @@
         }
     }
 
-    /// The change that the instance `own_member` should propose now, if any. `retiring` holds the names
-    /// of the instances being retired.
+    /// The change that the instance `own_member` should propose now, if any. `retiring` holds the
+    /// names of the instances being retired.
     ///
     /// `voting` is the number of members that vote. Without a quorum of them the group must not
     /// change, since the members of the next group copy their records from a quorum of this one.
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -123,5 +123,5 @@
 
     /// Builds the response headers for the caller from the endpoint's, without the
     /// connection-specific ones.
-    fn caller_headers(&self, reply: &HeaderMap) -> HeaderMap;
+    fn caller_headers(&self, response: &HeaderMap) -> HeaderMap;
 }
--- a/crates/gateway/src/storage/maintenance.rs
+++ b/crates/gateway/src/storage/maintenance.rs
@@ -13,7 +13,7 @@
 use crate::directory::{MetadataError, RetirementState};
 use crate::endpoint_view::{CHANGE_BATCH_MS, EndpointWatcher, MEMBER_WATCH_MS};
 use crate::membership::{
-    COPY_DELAY_MS, GROUP_RECORD, MEMBER_RECORD_PREFIX, Proposal, Watcher,
+    COPY_DELAY_MS, GROUP_RECORD, MEMBER_RECORD_PREFIX, MemberMonitor, Proposal,
 };
 use crate::storage::node::{ConfigurationUpdate, Event};
 use crate::storage::serve::StorageProcess;
@@ -253,11 +253,11 @@
 async fn maintain_group(process: Rc<StorageProcess>) {
     let creation_ms = now_ms() + GROUP_CREATION_DELAY_MS;
     tokio::task::spawn_local(register(Rc::clone(&process)));
-    let watcher = RefCell::new(Watcher::default());
+    let monitor = RefCell::new(MemberMonitor::default());
     let mut reported = None;
     loop {
         if let Err(error) =
-            check_group(&process, creation_ms, &watcher, &mut reported).await
+            check_group(&process, creation_ms, &monitor, &mut reported).await
         {
             log::debug!("event=group_check_failed reason={error:?}");
         }
@@ -302,7 +302,7 @@
 async fn check_group(
     process: &Rc<StorageProcess>,
     creation_ms: u64,
-    watcher: &RefCell<Watcher>,
+    monitor: &RefCell<MemberMonitor>,
     reported: &mut Option<RetirementState>,
 ) -> Result<(), MetadataError> {
     // The first read after a start must return the newest record: an instance that lost its
@@ -336,9 +336,9 @@
     if !is_spare && !is_retiring {
         return Ok(());
     }
-    let voting = count_voting(process, &group, watcher).await;
+    let voting = count_voting(process, &group, monitor).await;
     let proposal =
-        watcher
+        monitor
             .borrow_mut()
             .propose(now_ms(), &group, &own_member, &retiring, voting);
     match proposal {
@@ -395,12 +395,12 @@
         .await
 }
 
-/// Requests the status of all members, and records in `watcher` which of them respond. Returns how
+/// Requests the status of all members, and records in `monitor` which of them respond. Returns how
 /// many vote.
 async fn count_voting(
     process: &StorageProcess,
     group: &Group,
-    watcher: &RefCell<Watcher>,
+    monitor: &RefCell<MemberMonitor>,
 ) -> usize {
     let own_name = &process.settings.name;
     let others = group
@@ -417,7 +417,9 @@
     .await;
     let mut voting = usize::from(process.node.borrow().is_voting());
     for (name, response) in responses {
-        watcher.borrow_mut().note(now_ms(), &name, response.is_ok());
+        monitor
+            .borrow_mut()
+            .record_status(now_ms(), &name, response.is_ok());
         if let Ok(MemberResponse::Status {
             is_voting: true, ..
         }) = response
--- a/crates/gateway/tests/contact.rs
+++ b/crates/gateway/tests/contact.rs
@@ -98,7 +98,8 @@
     assert!(!contact.has_quorum(1_100));
 }
 
-/// A key revoked after the configuration was last confirmed must not be accepted for longer than agreed.
+/// A key revoked after the configuration was last confirmed must not be accepted for longer than
+/// agreed.
 #[test]
 fn stale_configuration_admits_no_requests() {
     let mut freshness = Freshness::default();
@@ -110,7 +111,7 @@
     assert_eq!(
         freshness.age_ms(10_000),
         Some(0),
-        "an older proof must not replace a newer one"
+        "an older confirmation must not replace a newer one"
     );
 }
 
--- a/crates/gateway/tests/endpoint_view.rs
+++ b/crates/gateway/tests/endpoint_view.rs
@@ -26,7 +26,7 @@
     EndpointChange::Present(entry(id))
 }
 
-fn gone(id: &str) -> EndpointChange {
+fn removed(id: &str) -> EndpointChange {
     EndpointChange::Removed(id.to_string())
 }
 
@@ -54,7 +54,7 @@
     view.apply_read(0, listed(1, &["one", "two"], true));
     assert_eq!(
         view.apply_read(10, listed(2, &["one"], true)),
-        [gone("two")]
+        [removed("two")]
     );
 }
 
@@ -67,7 +67,7 @@
     assert_eq!(view.apply_read(1_000, listed(2, &[], false)), []);
     let returned = view.apply_read(2_900, changed(3, &[present("one")]));
     assert_eq!(returned, []);
-    assert_eq!(view.apply_read(3_000, changed(3, &[])), [gone("two")]);
+    assert_eq!(view.apply_read(3_000, changed(3, &[])), [removed("two")]);
 }
 
 /// An endpoint is deleted while a member is partitioned from the store. The member keeps the
@@ -79,7 +79,7 @@
     partitioned.apply_read(0, listed(1, &["one", "two"], true));
     let mut reader = EndpointView::new(2);
     reader.apply_read(0, listed(1, &["one", "two"], true));
-    reader.apply_read(500, changed(2, &[gone("one")]));
+    reader.apply_read(500, changed(2, &[removed("one")]));
     partitioned.apply_read(1_000, listed(2, &["two"], false));
     for now_ms in (1_000..3_000).step_by(500) {
         partitioned.apply_read(now_ms, changed(2, &[]));
@@ -136,7 +136,7 @@
     reader.apply_update(0, update.expect("an update"));
     for number in 0..400 {
         let id = format!("endpoint-{number}");
-        member.apply_read(0, changed(2, &[present(&id), gone(&id)]));
+        member.apply_read(0, changed(2, &[present(&id), removed(&id)]));
     }
     member.apply_read(0, changed(3, &[present("two")]));
     let update = member
@@ -163,7 +163,7 @@
             member.apply_read(0, listed(0, &[], true));
         }
         let mut reader = EndpointView::new(3);
-        let mut held = BTreeSet::new();
+        let mut known = BTreeSet::new();
         // Content of the store at each revision, and the change that leads to the next one.
         let mut stored = vec![BTreeSet::new()];
         let mut changes = Vec::new();
@@ -173,7 +173,7 @@
             let mut next = stored.last().expect("a state").clone();
             changes.push(match is_present {
                 true => present(&id),
-                false => gone(&id),
+                false => removed(&id),
             });
             match is_present {
                 true => next.insert(id),
@@ -203,12 +203,12 @@
             };
             for change in update.into_iter().flatten() {
                 match change {
-                    EndpointChange::Present(entry) => held.insert(entry.id),
-                    EndpointChange::Removed(id) => held.remove(&id),
+                    EndpointChange::Present(entry) => known.insert(entry.id),
+                    EndpointChange::Removed(id) => known.remove(&id),
                 };
             }
             let at = usize::try_from(reader.revision()).expect("a revision");
-            prop_assert_eq!(&held, &stored[at]);
+            prop_assert_eq!(&known, &stored[at]);
         }
     }
 }
--- a/crates/gateway/tests/members.rs
+++ b/crates/gateway/tests/members.rs
@@ -109,8 +109,8 @@
     ) -> ResponseFuture {
         let mut nodes = self.0.nodes.borrow_mut();
         let node = nodes.get_mut(&member.name).expect("an instance");
-        let reply = respond(node, group_version, request).ok_or(LinkError::TimedOut);
-        if let Ok(MemberResponse::Chain(turns)) = &reply {
+        let response = respond(node, group_version, request).ok_or(LinkError::TimedOut);
+        if let Ok(MemberResponse::Chain(turns)) = &response {
             self.0.sent_turns.set(self.0.sent_turns.get() + turns.len());
         }
         drop(nodes);
@@ -120,9 +120,9 @@
         }
         match self.0.slow.borrow().as_ref() == Some(&member.name) {
             true => tokio::time::sleep(SLOW_RESPONSE)
-                .map(|()| reply)
+                .map(|()| response)
                 .boxed_local(),
-            false => ready(reply).boxed_local(),
+            false => ready(response).boxed_local(),
         }
     }
 }
@@ -273,7 +273,7 @@
         .await;
 }
 
-/// Without traffic an entry instance learns of a change from its probes. It must then read the
+/// Without traffic an entry instance detects a change through its probes. It must then read the
 /// group's record, and need not read it while all members know the same version.
 #[tokio::test(flavor = "current_thread")]
 async fn group_is_read_again_only_after_a_change() {
--- a/crates/gateway/tests/presence.rs
+++ b/crates/gateway/tests/presence.rs
@@ -3,7 +3,7 @@
 use jayreel_gateway::{PRESENCE_INTERVAL_MS, PresenceTracker, is_majority_absent};
 use test_case::test_case;
 
-/// Whether the first of ten entry instances learns that the majority of its zone is absent, after
+/// Whether the first of ten entry instances reports that the majority of its zone is absent, after
 /// `absent` others have sent no message for `silent_ms`.
 fn is_majority_reported_absent(absent: usize, silent_ms: u64) -> bool {
     let mut tracker = PresenceTracker::default();
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -72,11 +72,11 @@
 
 /// The responses among the effects, in order.
 pub fn responses(effects: &[Effect]) -> Vec<MemberResponse> {
-    let replies = effects.iter().filter_map(|effect| match effect {
+    let bodies = effects.iter().filter_map(|effect| match effect {
         Effect::Reply { reply, .. } => Some(reply.body.clone()),
         Effect::Append { .. } => None,
     });
-    replies.collect()
+    bodies.collect()
 }
 
 /// The number of the first append among the effects, if there is one.
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -199,7 +199,7 @@
     /// The instance does not vote: it is not a member, or has not yet copied the records that
     /// its disk lacks.
     NotVoting,
-    /// The instance cannot respond to this request at the moment, for instance because it knows only an older
-    /// version of the group than the sender.
+    /// The instance cannot respond to this request at the moment, for instance because it knows
+    /// only an older version of the group than the sender.
     Unavailable,
 }
--- a/crates/ledger/src/rate.rs
+++ b/crates/ledger/src/rate.rs
@@ -53,8 +53,8 @@
 /// started.
 const START_RESERVE_FRACTION: f64 = 0.5;
 
-/// Fraction of the bucket that prefetches leave. Larger than [`START_RESERVE_FRACTION`], because the
-/// requests that start a program have already arrived.
+/// Fraction of the bucket that prefetches leave. Larger than [`START_RESERVE_FRACTION`], because
+/// the requests that start a program have already arrived.
 const PREFETCH_RESERVE_FRACTION: f64 = 0.7;
 
 /// Fraction of the tolerated requests beyond the limit that programs which have started may
