--- a/crates/gateway/src/edge/mod.rs
+++ b/crates/gateway/src/edge/mod.rs
@@ -50,7 +50,7 @@
 const MAX_AFFINITIES: usize = 4_096;
 
 /// Fraction of `Bounds::configuration_ms`. A configuration that was confirmed to be current
-/// within this time may be used to tell callers that a route or key does not exist.
+/// within this time may be used to report to callers that a route or key does not exist.
 const RECENT_FRACTION: f64 = 0.9;
 
 /// The state of an entry instance.
@@ -70,17 +70,17 @@
     store_backoff: RefCell<Backoff>,
     /// Rate-limit tokens fetched in advance.
     quota: RefCell<QuotaBuffer>,
-    /// By customer: until when requests are refused without asking the members, which have all
-    /// just replied that the customer has no tokens left.
+    /// By customer: until when requests are refused without a request to the members, which have
+    /// all just responded that the customer has no tokens left.
     refused_until_ms: RefCell<HashMap<String, u64>>,
     pub turns: RefCell<TurnCache>,
     /// By program: the endpoint that handled its last request. The next one prefers it.
     pub affinity: RefCell<HashMap<String, String>>,
     /// Set once a list of endpoints has been received, even an empty one.
     has_endpoints: Cell<bool>,
-    /// Most entry instances of the zone have lost contact with its member. The load balancer
-    /// should then send callers to other zones.
-    is_zone_mostly_disconnected: Cell<bool>,
+    /// Fewer than half of the entry instances of the zone have contact with its member. The load
+    /// balancer should then send callers to other zones.
+    is_zone_majority_absent: Cell<bool>,
     /// A graceful shutdown has begun.
     is_stopping: Cell<bool>,
     /// Limits the log lines for successful responses. Those beyond it are only counted.
@@ -119,7 +119,7 @@
             turns: RefCell::default(),
             affinity: RefCell::default(),
             has_endpoints: Cell::new(false),
-            is_zone_mostly_disconnected: Cell::new(false),
+            is_zone_majority_absent: Cell::new(false),
             is_stopping: Cell::new(false),
             response_log_budget: RefCell::default(),
             metrics: Metrics::new(),
@@ -143,13 +143,13 @@
         let revocation_ms = self.settings.bounds.revocation_ms;
         !self.is_stopping.get()
             && self.has_endpoints.get()
-            && !self.is_zone_mostly_disconnected.get()
+            && !self.is_zone_majority_absent.get()
             && self.configuration_revision.get() > 0
             && self.members.contact().is_ready(now_ms())
             && self.freshness.borrow().admits(now_ms(), revocation_ms)
     }
 
-    /// Tells the balancer that an endpoint responded `elapsed_ms` after the request was sent.
+    /// Reports to the balancer that an endpoint responded `elapsed_ms` after the request was sent.
     pub(crate) fn record_endpoint_response(
         &self,
         pick: &Pick,
@@ -177,7 +177,7 @@
     }
 
     /// Logs a failed send and counts it in the metrics. Unlike `record_endpoint_failure`, it does
-    /// not tell the balancer: an endpoint that rejects a request has not failed.
+    /// not report it to the balancer: an endpoint that rejects a request has not failed.
     pub(crate) fn record_failed_send(
         &self,
         pick: &Pick,
@@ -199,7 +199,7 @@
         let elapsed_ms = now_ms().saturating_sub(admitted.arrived_ms);
         let customer = admitted.outgoing.customer.as_deref().unwrap_or_default();
         self.metrics
-            .answered(&admitted.route.name, customer, elapsed_ms);
+            .record_response(&admitted.route.name, customer, elapsed_ms);
         if let Some(program) = &admitted.call.program {
             let mut affinity = self.affinity.borrow_mut();
             if affinity.len() >= MAX_AFFINITIES {
@@ -226,7 +226,7 @@
     /// Records the duration of a stream that reached its end.
     fn record_stream_end(&self, admitted: &AdmittedCall) {
         let elapsed_ms = now_ms().saturating_sub(admitted.arrived_ms);
-        self.metrics.streamed(&admitted.route.name, elapsed_ms);
+        self.metrics.record_stream(&admitted.route.name, elapsed_ms);
     }
 
     /// Logs how many successful responses were left out of the log since the last call.
@@ -239,7 +239,7 @@
 
     /// Logs and counts a request that this instance refused. The log line contains the inputs of
     /// the decision: the version and age of the configuration, the customer's limits, and the
-    /// version of the group with the time since a quorum last answered.
+    /// version of the group with the time since a quorum last responded.
     fn log_refusal(&self, request: &RequestLogFields, refusal: &Refusal) {
         self.metrics.refused(refusal.reason);
         let now_ms = now_ms();
--- a/crates/gateway/src/edge/sync.rs
+++ b/crates/gateway/src/edge/sync.rs
@@ -30,11 +30,11 @@
 /// Pause after a failed read of the metadata store, in milliseconds.
 const FAILED_READ_RETRY_MS: u64 = 200;
 
-/// All members are asked for the configuration if it was last confirmed to be current this long
+/// The configuration is requested from all members if it was last confirmed to be current this long
 /// ago, in milliseconds: several reads of the store have failed by then.
-const ASK_MEMBERS_AGE_MS: u64 = 2_000;
+const MAX_UNCONFIRMED_AGE_MS: u64 = 2_000;
 
-/// Interval at which a member is asked for changes of endpoints, in milliseconds. Together with
+/// Interval at which endpoint changes are requested from a member, in milliseconds. Together with
 /// the pause between the member's own calls, a draining endpoint is known within one second.
 const SHARED_ENDPOINTS_INTERVAL_MS: u64 = 250;
 
@@ -51,13 +51,13 @@
 const SWEEP_INTERVAL_MS: u64 = 1_000;
 
 /// Longest wait for a group after the start, in milliseconds. When the whole system starts for
-/// the first time, the group is founded only after the instances with disks have registered.
+/// the first time, the group is created only after the storage instances have registered.
 /// Configuration and endpoints are not read before that, since without a group nothing can be
 /// served.
-const FOUNDING_WAIT_MS: u64 = 3_000;
+const GROUP_WAIT_MS: u64 = 3_000;
 
 /// Interval at which this wait checks whether a group is known, in milliseconds.
-const FOUNDING_POLL_MS: u64 = 25;
+const GROUP_POLL_MS: u64 = 25;
 
 /// Starts all background tasks. They run until the process ends.
 pub(crate) fn start(edge: &Rc<Edge>) {
@@ -71,7 +71,7 @@
 }
 
 /// Reads the configuration periodically from the nearest member, or from the metadata store
-/// while that member does not answer or its copy is too old.
+/// while that member does not respond or its copy is too old.
 async fn read_configuration(edge: Rc<Edge>) {
     let bound_ms = edge.settings.bounds.configuration_ms as f64;
     let interval_ms = (bound_ms * READ_INTERVAL_FRACTION) as u64;
@@ -92,13 +92,13 @@
             continue;
         }
         if !edge.store_backoff.borrow().is_over(now_ms()) {
-            ask_members(&edge).await;
+            read_configuration_from_members(&edge).await;
             pause(FAILED_READ_RETRY_MS).await;
             continue;
         }
         match edge.store.configuration(known).await {
             Ok(read) => {
-                edge.members.note_store();
+                edge.members.record_store_response();
                 edge.apply_configuration(began_ms, read);
                 log_store_transition(&mut is_reachable, None);
                 edge.store_backoff.borrow_mut().succeed();
@@ -107,18 +107,18 @@
             Err(error) => {
                 log_store_transition(&mut is_reachable, Some(&error));
                 edge.store_backoff.borrow_mut().fail(now_ms());
-                ask_members(&edge).await;
+                read_configuration_from_members(&edge).await;
                 pause(FAILED_READ_RETRY_MS).await;
             }
         }
     }
 }
 
-/// Waits until a group is known, but no longer than `FOUNDING_WAIT_MS`.
+/// Waits until a group is known, but no longer than `GROUP_WAIT_MS`.
 async fn wait_for_group(edge: &Edge) {
-    let until_ms = now_ms() + FOUNDING_WAIT_MS;
+    let until_ms = now_ms() + GROUP_WAIT_MS;
     while edge.members.group().version == 0 && now_ms() < until_ms {
-        pause(FOUNDING_POLL_MS).await;
+        pause(GROUP_POLL_MS).await;
     }
 }
 
@@ -132,24 +132,24 @@
     *is_reachable = error.is_none();
 }
 
-/// Reads the configuration from all members if it has not been confirmed for `ASK_MEMBERS_AGE_MS`:
-/// the metadata store may be reachable from them though not from here.
-async fn ask_members(edge: &Rc<Edge>) {
+/// Reads the configuration from all members if it has not been confirmed for
+/// `MAX_UNCONFIRMED_AGE_MS`: the metadata store may be reachable from them though not from here.
+async fn read_configuration_from_members(edge: &Rc<Edge>) {
     let age_ms = edge.freshness.borrow().age_ms(now_ms());
-    if age_ms.is_some_and(|age_ms| age_ms < ASK_MEMBERS_AGE_MS) {
+    if age_ms.is_some_and(|age_ms| age_ms < MAX_UNCONFIRMED_AGE_MS) {
         return;
     }
-    let asked_ms = now_ms();
+    let requested_ms = now_ms();
     let known = edge.configuration_revision.get();
     for found in edge.members.configuration(known).await {
-        edge.apply_shared_configuration(asked_ms, found);
+        edge.apply_shared_configuration(requested_ms, found);
     }
 }
 
 impl Edge {
-    /// Applies a configuration that a member read. Its age counts back from `asked_ms`, when the
-    /// request was sent, so that it is never underestimated.
-    fn apply_shared_configuration(&self, asked_ms: u64, found: SharedConfiguration) {
+    /// Applies a configuration that a member read. Its age counts back from `requested_ms`, when
+    /// the request was sent, so that it is never underestimated.
+    fn apply_shared_configuration(&self, requested_ms: u64, found: SharedConfiguration) {
         let content = found.content.and_then(|content| {
             let decoded = self.store.decode_configuration(&content);
             match decoded {
@@ -164,7 +164,7 @@
             revision: found.revision,
             content,
         };
-        self.apply_configuration(asked_ms.saturating_sub(found.age_ms), read);
+        self.apply_configuration(requested_ms.saturating_sub(found.age_ms), read);
     }
 
     /// Applies a configuration that was the newest at `read_began_ms`, or confirms the current one.
@@ -182,10 +182,10 @@
                 );
                 self.configuration_revision.set(read.revision);
                 *self.configuration.borrow_mut() = Rc::new(configuration);
-                self.freshness.borrow_mut().prove(read_began_ms);
+                self.freshness.borrow_mut().confirm(read_began_ms);
             }
             _ if read.revision == known && known > 0 => {
-                self.freshness.borrow_mut().prove(read_began_ms);
+                self.freshness.borrow_mut().confirm(read_began_ms);
             }
             _ => {}
         }
@@ -193,18 +193,18 @@
 }
 
 /// Reads changes of endpoints from a near member, or from the metadata store while no such member
-/// has heard from the store recently.
+/// has had a response of the store recently.
 async fn follow_endpoints(edge: Rc<Edge>) {
     let mut view = EndpointView::default();
-    let mut follower = EndpointWatcher::default();
+    let mut watcher = EndpointWatcher::default();
     wait_for_group(&edge).await;
     loop {
         let shared = edge.members.endpoints(view.update_cursor()).await;
-        let news = shared.and_then(decode_endpoint_news);
-        let changes = news.and_then(|news| view.apply_update(now_ms(), news));
+        let update = shared.and_then(decode_endpoint_update);
+        let changes = update.and_then(|update| view.apply_update(now_ms(), update));
         if let Some(changes) = changes {
             edge.apply_endpoints(changes);
-            follower.restart();
+            watcher.restart();
             edge.store_backoff.borrow_mut().succeed();
             pause(SHARED_ENDPOINTS_INTERVAL_MS).await;
             continue;
@@ -213,7 +213,7 @@
             pause(FAILED_READ_RETRY_MS).await;
             continue;
         }
-        match follower.read(&*edge.store, ENTRY_WATCH_MS).await {
+        match watcher.read(&*edge.store, ENTRY_WATCH_MS).await {
             Ok(read) => {
                 let changes = view.apply_read(now_ms(), read);
                 let has_changes = !changes.is_empty();
@@ -232,7 +232,7 @@
 }
 
 /// Decodes the changes of endpoints that a member sent. `None` if they are unreadable.
-fn decode_endpoint_news(shared: SharedEndpoints) -> Option<EndpointUpdate> {
+fn decode_endpoint_update(shared: SharedEndpoints) -> Option<EndpointUpdate> {
     match postcard::from_bytes(&shared.content) {
         Ok(changes) => Some(EndpointUpdate {
             cursor: shared.cursor,
@@ -262,7 +262,7 @@
                     );
                     balancer.upsert(entry);
                 }
-                EndpointChange::Gone(id) => {
+                EndpointChange::Removed(id) => {
                     log::info!("event=endpoint_gone id={id}");
                     balancer.remove(&id);
                 }
@@ -274,7 +274,7 @@
 
 /// Reads the group's record from the metadata store, but only while no group is known, the known
 /// one has no quorum, or a member has reported a newer one. Otherwise members return a newer group
-/// in their answer to any request that depends on it.
+/// in their response to any request that depends on it.
 async fn read_group(edge: Rc<Edge>) {
     loop {
         if edge.members.is_group_current(now_ms()) {
@@ -283,7 +283,7 @@
         }
         match edge.store.internal_records(GROUP_RECORD, true).await {
             Ok(records) => {
-                edge.members.note_store();
+                edge.members.record_store_response();
                 let record = records.iter().find(|record| record.name == GROUP_RECORD);
                 if let Some(record) = record {
                     adopt_record(&edge, &record.content);
@@ -344,21 +344,17 @@
     }
 }
 
-/// Reports the presence of this instance to its zone's member, and learns from the reply whether
-/// most entry instances of the zone have lost contact.
+/// Reports the presence of this instance to its zone's member, and reads from the response whether
+/// fewer than half of the entry instances of the zone are present.
 async fn follow_presence(edge: Rc<Edge>) {
     loop {
         pause(PRESENCE_INTERVAL_MS).await;
         let presence = edge.members.zone_presence(&edge.settings.name).await;
-        let is_mostly_disconnected = presence.is_some_and(is_majority_absent);
-        if is_mostly_disconnected
-            != edge
-                .is_zone_mostly_disconnected
-                .replace(is_mostly_disconnected)
-        {
+        let majority_absent = presence.is_some_and(is_majority_absent);
+        if majority_absent != edge.is_zone_majority_absent.replace(majority_absent) {
             let ZonePresence { known, present } = presence.unwrap_or_default();
             log::warn!(
-                "event=zone_presence mostly_away={is_mostly_disconnected} known={known} \
+                "event=zone_presence mostly_away={majority_absent} known={known} \
                  present={present}"
             );
         }
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -1,7 +1,7 @@
 //! Decides when the membership of the group should change.
 //!
-//! Instances with a disk that are not members are spares. A spare proposes itself as a
-//! replacement for a member that is being retired or has not answered for a long time, or as
+//! Storage instances that are not members are spares. A spare proposes itself as a
+//! replacement for a member that is being retired or has not responded for a long time, or as
 //! an additional member if the group has room. A member that is being retired leaves on its
 //! own only if no spare replaces it. Each proposal is a conditional write of the group record,
 //! so only one of two concurrent proposals succeeds.
@@ -13,19 +13,19 @@
 /// Name of the internal record that holds the group.
 pub(crate) const GROUP_RECORD: &str = "group";
 
-/// Prefix of the internal records in which instances with a disk register.
+/// Prefix of the internal records in which storage instances register.
 pub(crate) const MEMBER_RECORD_PREFIX: &str = "storage/";
 
 /// Time limit for the decision of a turn, in milliseconds. A turn that is not decided by then
 /// never will be.
 pub(crate) const DECISION_TIMEOUT_MS: u64 = 1_000;
 
-/// Time after its start before an instance that lacks facts begins to copy them from other
+/// Time after its start before an instance that lacks records begins to copy them from other
 /// members, in milliseconds. Turns that it voted on before it lost its disk are decided by
 /// then.
 pub(crate) const COPY_DELAY_MS: u64 = DECISION_TIMEOUT_MS + 500;
 
-/// Time without an answer after which a spare replaces a member, in milliseconds. Restarts and
+/// Time without a response after which a spare replaces a member, in milliseconds. Restarts and
 /// short outages end sooner, and a replacement costs a copy of all data.
 const REPLACE_AFTER_MS: u64 = 4_000;
 
@@ -47,18 +47,18 @@
 
 /// What one instance observed about the members, as the basis for its proposals.
 #[derive(Debug, Default)]
-pub(crate) struct Watcher {
-    /// When a member's unanswered requests in a row began, by its name. No entry for members that
-    /// answered last time.
+pub(crate) struct MemberMonitor {
+    /// When a member's consecutive requests without a response began, by its name. No entry for
+    /// members that responded last time.
     silent_since_ms: HashMap<String, u64>,
     /// Since when this instance is a member that is being retired.
     retiring_since_ms: Option<u64>,
 }
 
-impl Watcher {
-    /// Records whether a member answered a status request.
-    pub(crate) fn note(&mut self, now_ms: u64, name: &str, has_answered: bool) {
-        match has_answered {
+impl MemberMonitor {
+    /// Records whether a member responded to a status request.
+    pub(crate) fn record_status(&mut self, now_ms: u64, name: &str, has_responded: bool) {
+        match has_responded {
             true => {
                 self.silent_since_ms.remove(name);
             }
@@ -69,21 +69,21 @@
         }
     }
 
-    /// The change that the instance `me` should propose now, if any. `retiring` holds the names
-    /// of the instances being retired.
+    /// The change that the instance `own_member` should propose now, if any. `retiring` holds the
+    /// names of the instances being retired.
     ///
     /// `voting` is the number of members that vote. Without a quorum of them the group must not
-    /// change, since the members of the next group copy their facts from a quorum of this one.
+    /// change, since the members of the next group copy their records from a quorum of this one.
     pub(crate) fn propose(
         &mut self,
         now_ms: u64,
         group: &Group,
-        me: &Member,
+        own_member: &Member,
         retiring: &[String],
         voting: usize,
     ) -> Option<Proposal> {
-        let is_retiring = retiring.contains(&me.name);
-        let is_member = group.contains(&me.name);
+        let is_retiring = retiring.contains(&own_member.name);
+        let is_member = group.contains(&own_member.name);
         match is_retiring && is_member {
             true => {
                 self.retiring_since_ms.get_or_insert(now_ms);
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Whether a member has given no answer for [`REPLACE_AFTER_MS`].
+    /// Whether a member has sent no response for [`REPLACE_AFTER_MS`].
     fn is_silent(&self, now_ms: u64, name: &str) -> bool {
         let since_ms = self.silent_since_ms.get(name);
         since_ms.is_some_and(|since_ms| since_ms + REPLACE_AFTER_MS <= now_ms)
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -15,14 +15,14 @@
     pub request_id: String,
     /// Host that the request names, without a port.
     pub host: String,
-    /// How long the caller will wait for the answer, in milliseconds. None if it set no limit.
+    /// How long the caller will wait for the response, in milliseconds. None if it set no limit.
     pub deadline_ms: Option<u64>,
     /// API key of the customer, if the request has one.
     pub key: Option<String>,
     /// Last event that the caller received, if it resumes a stream.
     pub last_event_id: Option<u64>,
     /// Upper bound of the tokens that the request generates, if it sets one.
-    pub most_tokens: Option<u32>,
+    pub max_tokens: Option<u32>,
     /// The program of the request, if it belongs to one.
     pub program: Option<ProgramCall>,
     /// Identifier of the turn that this one continues, if any.
@@ -32,7 +32,7 @@
 impl CallHead {
     /// Number of tokens to reserve for the request.
     pub fn reserved_tokens(&self) -> u32 {
-        self.most_tokens.unwrap_or(DEFAULT_RESERVED_TOKENS)
+        self.max_tokens.unwrap_or(DEFAULT_RESERVED_TOKENS)
     }
 }
 
@@ -88,8 +88,8 @@
 
 /// The decoded head of an endpoint's response.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct EndpointReply {
-    /// Identifier of the request that it answers, if it names one.
+pub struct EndpointResponseHead {
+    /// Identifier of the request to which it responds, if it names one.
     pub request_id: Option<String>,
     /// The endpoint guarantees that it has not run the request and never will.
     pub has_not_run: bool,
@@ -119,9 +119,9 @@
     ) -> HeaderMap;
 
     /// Decodes the head of an endpoint's response.
-    fn decode_reply(&self, headers: &HeaderMap) -> EndpointReply;
+    fn decode_response_head(&self, headers: &HeaderMap) -> EndpointResponseHead;
 
     /// Builds the response headers for the caller from the endpoint's, without the
     /// connection-specific ones.
-    fn caller_headers(&self, reply: &HeaderMap) -> HeaderMap;
+    fn caller_headers(&self, response: &HeaderMap) -> HeaderMap;
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -12,13 +12,13 @@
     pub name: String,
     /// Its availability zone.
     pub availability_zone: String,
-    /// Address on which callers connect. None on an instance with a disk.
+    /// Address on which callers connect. None on a storage instance.
     pub front: Option<SocketAddr>,
-    /// Address of the readiness check for the load balancer. None on an instance with a disk.
+    /// Address of the readiness check for the load balancer. None on a storage instance.
     pub ready: Option<SocketAddr>,
     /// Address on which other instances connect.
     pub internal: SocketAddr,
-    /// Address that other instances are told to connect to. The same as `internal`,
+    /// Address announced to other instances for their connections. The same as `internal`,
     /// unless an intermediary forwards the connections.
     pub advertised: SocketAddr,
     /// Address on which metrics are served.
--- a/crates/gateway/tests/members.rs
+++ b/crates/gateway/tests/members.rs
@@ -12,7 +12,7 @@
 use futures::FutureExt;
 use jayreel_gateway::edge::{ChainLookup, Members};
 use jayreel_gateway::storage::{Event, Node};
-use jayreel_gateway::{AnswerFuture, LinkError, MemberClient, now_ms};
+use jayreel_gateway::{LinkError, MemberClient, ResponseFuture, now_ms};
 use jayreel_ledger::{
     Decision, Group, Member, MemberRequest, MemberResponse, TurnRecord,
 };
@@ -51,12 +51,12 @@
 }
 
 impl Cluster {
-    /// Makes the named instances learn a group.
-    fn learn(&self, names: &[&str], group: &Group) {
+    /// Announces a group to the named instances.
+    fn adopt(&self, names: &[&str], group: &Group) {
         for name in names {
             let mut nodes = self.nodes.borrow_mut();
             let node = nodes.get_mut(*name).expect("an instance");
-            node.apply(now_ms(), Event::GroupLearned(group.clone()));
+            node.apply(now_ms(), Event::GroupReceived(group.clone()));
         }
     }
 
@@ -97,20 +97,20 @@
 }
 
 /// Calls the instances of a cluster directly.
-struct DirectLinks(Rc<Cluster>);
+struct DirectClient(Rc<Cluster>);
 
-impl MemberClient for DirectLinks {
-    fn ask(
+impl MemberClient for DirectClient {
+    fn send_request(
         &self,
         member: &Member,
         group_version: u64,
         request: MemberRequest,
         _: u64,
-    ) -> AnswerFuture {
+    ) -> ResponseFuture {
         let mut nodes = self.0.nodes.borrow_mut();
         let node = nodes.get_mut(&member.name).expect("an instance");
-        let reply = respond(node, group_version, request).ok_or(LinkError::TimedOut);
-        if let Ok(MemberResponse::Chain(turns)) = &reply {
+        let response = respond(node, group_version, request).ok_or(LinkError::TimedOut);
+        if let Ok(MemberResponse::Chain(turns)) = &response {
             self.0.sent_turns.set(self.0.sent_turns.get() + turns.len());
         }
         drop(nodes);
@@ -120,9 +120,9 @@
         }
         match self.0.slow.borrow().as_ref() == Some(&member.name) {
             true => tokio::time::sleep(SLOW_RESPONSE)
-                .map(|()| reply)
+                .map(|()| response)
                 .boxed_local(),
-            false => ready(reply).boxed_local(),
+            false => ready(response).boxed_local(),
         }
     }
 }
@@ -164,21 +164,21 @@
     cluster.nodes.borrow_mut().extend(nodes);
     let first = first_group();
     let second = first.replace(Some("g1"), Some(member("h3")));
-    cluster.learn(&names, &first);
-    cluster.learn(&["h1", "h2", "h3", "h4", "k1"], &second);
-    cluster.learn(&["h1", "h2", "h3", "h4", "k1"], &last_group());
+    cluster.adopt(&names, &first);
+    cluster.adopt(&["h1", "h2", "h3", "h4", "k1"], &second);
+    cluster.adopt(&["h1", "h2", "h3", "h4", "k1"], &last_group());
     Rc::new(cluster)
 }
 
 /// An entry instance of zone g that still uses version 1 of the group.
 fn entry(cluster: &Rc<Cluster>) -> Rc<Members> {
-    let members = Members::new("g", Box::new(DirectLinks(Rc::clone(cluster))));
+    let members = Members::new("g", Box::new(DirectClient(Rc::clone(cluster))));
     let members = Rc::new(members);
     members.adopt(first_group());
     members
 }
 
-/// An entry instance that uses version 1 of the group, and learns version 3 while its first
+/// An entry instance that uses version 1 of the group, and receives version 3 while its first
 /// request is under way.
 async fn interrupted_entry(cluster: &Rc<Cluster>) -> Rc<Members> {
     let members = entry(cluster);
@@ -217,7 +217,7 @@
         .run_until(async {
             let members = interrupted_entry(&cluster).await;
             members
-                .keep_turn(&turn_record("turn"))
+                .store_turn(&turn_record("turn"))
                 .await
                 .expect("the turn is stored");
             let group = last_group();
@@ -232,12 +232,12 @@
 #[tokio::test(flavor = "current_thread")]
 async fn turn_is_stored_while_the_group_changes() {
     let cluster = changed_cluster();
-    cluster.learn(&["g1", "g2"], &last_group());
+    cluster.adopt(&["g1", "g2"], &last_group());
     LocalSet::new()
         .run_until(async {
             let members = entry(&cluster);
             members
-                .keep_turn(&turn_record("turn"))
+                .store_turn(&turn_record("turn"))
                 .await
                 .expect("the turn is stored");
             assert_eq!(members.group().version, 3);
@@ -259,7 +259,7 @@
         .await;
 }
 
-/// A turn may be reported as missing only after the newest group was asked.
+/// A turn may be reported as missing only after the newest group has responded.
 #[tokio::test(flavor = "current_thread")]
 async fn turn_without_copies_is_missing() {
     let cluster = changed_cluster();
@@ -273,7 +273,7 @@
         .await;
 }
 
-/// Without traffic an entry instance learns of a change from its probes. It must then read the
+/// Without traffic an entry instance detects a change through its probes. It must then read the
 /// group's record, and need not read it while all members know the same version.
 #[tokio::test(flavor = "current_thread")]
 async fn group_is_read_again_only_after_a_change() {
