--- a/crates/core/src/engine_link.rs
+++ b/crates/core/src/engine_link.rs
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Tells an engine to drop the cache of a program. Reported as `CacheReleased`.
+    /// Requests that an engine drop the cache of a program. Reported as `CacheReleased`.
     pub(crate) fn release(&self, endpoint: String, cache_tag: String) {
         if let Some(address) = self.address(&endpoint) {
             let task = Task::ReleaseCache {
@@ -142,9 +142,9 @@
     }
 
     /// Sends an order to an engine. Reported as `OrderAnswered`, unless the queue is full or
-    /// the endpoint is not configured; the reducer gives up an order without an answer after
-    /// some time. An engine rejects an order whose `fencing` number is
-    /// lower than that of an earlier one, if it checks the numbers.
+    /// the endpoint is not configured; the reducer gives up an order without a response
+    /// after some time. An engine that checks fencing numbers rejects an order whose
+    /// `fencing` is lower than that of an earlier one.
     pub(crate) fn order(&self, endpoint: String, fencing: u64, order: EngineOrder) {
         if let Some(address) = self.address(&endpoint) {
             let task = Task::Order {
--- a/crates/core/src/instance/base.rs
+++ b/crates/core/src/instance/base.rs
@@ -195,7 +195,7 @@
             engines,
             peers: self.peers.clone(),
             store: store_link.effects(),
-            observer: Arc::new(CallMetrics::new(self.clock, metrics)),
+            metrics: Arc::new(CallMetrics::new(self.clock, metrics)),
         };
         let runner = Runner::new(
             self.clock,
@@ -262,7 +262,7 @@
 
     /// Starts the server for callers.
     pub(super) fn start_callers(&self) -> eyre::Result<CallerServer> {
-        let intake = RequestSubmitter::new(
+        let submitter = RequestSubmitter::new(
             self.clock,
             Arc::clone(&self.calls),
             self.events.clone(),
@@ -270,7 +270,7 @@
         );
         let listen = self.settings.callers.listen;
         let settings = from_settings::server_settings(&self.settings);
-        CallerServer::start(listen, settings, Arc::new(intake))
+        CallerServer::start(listen, settings, Arc::new(submitter))
             .wrap_err_with(|| format!("cannot listen on {listen} for callers"))
     }
 }
--- a/crates/core/src/instance/mod.rs
+++ b/crates/core/src/instance/mod.rs
@@ -128,7 +128,8 @@
     }
 
     /// Performs a planned stop: announces it, waits until all accepted calls have ended or
-    /// `drain_limit_s` has passed (0 means no limit), and hands over the programs and the quota of the instance.
+    /// `drain_limit_s` has passed (0 means no limit), and hands over the programs and the
+    /// quota of the instance.
     pub(crate) fn close(self) {
         self.announce_stop();
         thread::sleep(Duration::from_millis(
@@ -197,7 +198,7 @@
         // only with the process.
     }
 
-    /// `None` if the runner has ended or does not answer within 1 s.
+    /// `None` if the runner has ended or does not respond within 1 s.
     fn status(&self) -> Option<StatusReport> {
         let (reply, status) = bounded(1);
         self.events.send(RunnerEvent::Status(reply)).ok()?;
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -11,7 +11,7 @@
 
 use crate::{EXIT_USAGE, logging};
 
-/// The part that an instance on the users' platform plays.
+/// The role of an instance on the users' platform.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Role {
     /// Serves the requests of callers.
--- a/crates/core/src/peer_link/addresses.rs
+++ b/crates/core/src/peer_link/addresses.rs
@@ -65,13 +65,13 @@
         address: SocketAddr,
     ) {
         let is_registered = self.registered.get(name) == Some(&address);
-        let is_taken = self
+        let is_held = self
             .unregistered
             .get(name)
             .is_some_and(|(known, received_ms)| {
                 *known != address && now_ms < *received_ms + ADDRESS_HOLD_MS
             });
-        if is_registered || !is_taken {
+        if is_registered || !is_held {
             self.unregistered
                 .insert(name.to_string(), (address, now_ms));
         }
--- a/crates/core/src/peer_link/discovery.rs
+++ b/crates/core/src/peer_link/discovery.rs
@@ -15,8 +15,8 @@
 /// Shortest time between two requests to one peer for its list of peers.
 const REQUEST_INTERVAL_MS: u64 = 5_000;
 
-/// Finds peers until the registrations are read for the first time. From then on they tell
-/// the addresses of all peers, and discovery does nothing.
+/// Finds peers until the registrations are read for the first time. From then on the
+/// registrations hold the addresses of all peers, and discovery does nothing.
 pub(super) struct Discovery {
     clock: Clock,
     sender: PeerSender,
@@ -54,7 +54,7 @@
         let _ = self.events.send(RunnerEvent::Reducer(Input::Fleet(event)));
     }
 
-    /// Requests the list of peers from a peer that has answered a heartbeat. Because of the
+    /// Requests the list of peers from a peer that has responded to a heartbeat. Because of the
     /// heartbeat the peer knows the address to which the list is to be sent.
     pub(super) fn request_peers(&self, from: &str) {
         if !self.sender.has_registered() && self.is_due(from) {
--- a/crates/core/src/peer_link/mod.rs
+++ b/crates/core/src/peer_link/mod.rs
@@ -1,7 +1,7 @@
 //! Connects the reducer to the peer network.
 //!
 //! Sends the reducer's messages to peers, and turns what peers send into events. While the
-//! store does not answer, it also keeps the instance in contact with the fleet: it finds
+//! store does not respond, it also keeps the instance in contact with the fleet: it finds
 //! peers through seed addresses and through other peers, and exchanges the configuration
 //! with them.
 
@@ -105,7 +105,8 @@
         self.network.discover(address);
     }
 
-    /// Applies a change and tells the peer network if the addresses in use differ after it.
+    /// Applies a change. Passes the addresses to the peer network if those in use differ
+    /// afterwards.
     fn change_addresses(&self, now_ms: u64, change: impl FnOnce(&mut Addresses)) {
         let mut addresses = self.lock();
         change(&mut addresses);
--- a/crates/core/src/peer_link/receiver.rs
+++ b/crates/core/src/peer_link/receiver.rs
@@ -47,8 +47,8 @@
     thread::Builder::new()
         .name("peer-inbound".to_string())
         .spawn(move || {
-            for arrived in inbound {
-                receiver.handle(arrived);
+            for event in inbound {
+                receiver.handle(event);
             }
         })
         .wrap_err("cannot start the peer receiver thread")?;
@@ -68,17 +68,17 @@
 }
 
 impl PeerReceiver {
-    fn handle(&self, arrived: PeerEvent) {
-        match arrived {
+    fn handle(&self, event: PeerEvent) {
+        match event {
             PeerEvent::Forwarded {
                 id,
                 from,
                 call,
-                response: answer,
+                response,
             } => {
                 let now_ms = self.clock.now_ms();
-                match insert_forwarded_call(id, &call, answer, &self.calls, now_ms) {
-                    Ok(facts) => self.schedule(Event::CallArrived(Box::new(facts))),
+                match insert_forwarded_call(id, &call, response, &self.calls, now_ms) {
+                    Ok(arrived) => self.schedule(Event::CallArrived(Box::new(arrived))),
                     Err(error) => {
                         log::warn!("event=bad_forward from={from} error={error}");
                     }
--- a/crates/core/src/peer_link/snapshots.rs
+++ b/crates/core/src/peer_link/snapshots.rs
@@ -1,4 +1,4 @@
-//! Exchanges snapshots of the configuration with peers while the store does not answer.
+//! Exchanges snapshots of the configuration with peers while the store does not respond.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -95,13 +95,13 @@
     ///
     /// Most changes soon arrive from the store. A snapshot is large, and without this check
     /// each heartbeat of a peer that received a change earlier would cause one. Snapshots are
-    /// therefore requested only if the store does not answer, and from one peer at a time.
+    /// therefore requested only if the store does not respond, and from one peer at a time.
     fn may_request(&self) -> bool {
         let now_ms = self.clock.now_ms();
         let age_ms = self.feed.store_contact_age_ms();
-        let store_answers = age_ms.is_some_and(|age_ms| age_ms < STORE_SILENCE_MS);
+        let store_responds = age_ms.is_some_and(|age_ms| age_ms < STORE_SILENCE_MS);
         let last_ms = self.requested_at_ms.load(Ordering::Relaxed);
-        if store_answers || now_ms < last_ms + REQUEST_INTERVAL_MS {
+        if store_responds || now_ms < last_ms + REQUEST_INTERVAL_MS {
             return false;
         }
         self.requested_at_ms.store(now_ms, Ordering::Relaxed);
--- a/crates/core/src/shell/forward.rs
+++ b/crates/core/src/shell/forward.rs
@@ -28,7 +28,7 @@
 const FORWARDED_BIT: u64 = 1 << 63;
 
 /// What the owner needs in addition to the HTTP request: the parsed request. Encoded as JSON
-/// in [`ForwardedCall::facts`], so the names of the fields are part of the peer protocol.
+/// in [`ForwardedCall::params`], so the names of the fields are part of the peer protocol.
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 struct ForwardedParams {
@@ -55,7 +55,7 @@
     calls: &CallTable,
     now_ms: u64,
 ) -> Result<CallArrived, serde_json::Error> {
-    let params: ForwardedParams = match serde_json::from_slice(&call.facts) {
+    let params: ForwardedParams = match serde_json::from_slice(&call.params) {
         Ok(params) => params,
         Err(error) => {
             let refusal = Refusal::not_run(
@@ -218,14 +218,15 @@
         parts: &RequestParts,
     ) -> Option<ForwardedCall> {
         let arrived = self.calls.arrived(id)?;
-        let stream = matches!(&parts.operation, Operation::ChatCompletion(f) if f.stream);
-        let facts = serde_json::to_vec(&ForwardedParams { arrived, stream }).ok()?;
+        let stream =
+            matches!(&parts.operation, Operation::ChatCompletion(chat) if chat.stream);
+        let params = serde_json::to_vec(&ForwardedParams { arrived, stream }).ok()?;
         Some(ForwardedCall {
             method: parts.method.clone(),
             path: parts.path.clone(),
             headers: parts.headers.clone(),
             body: parts.body.clone(),
-            facts,
+            params,
         })
     }
 
--- a/crates/core/src/shell/runner.rs
+++ b/crates/core/src/shell/runner.rs
@@ -38,7 +38,7 @@
 pub(crate) enum RunnerEvent {
     /// An input that is passed to the reducer unchanged.
     Reducer(Input),
-    /// `GET /v1/models`, which the runner answers from the configuration.
+    /// `GET /v1/models`, to which the runner responds from the configuration.
     ListModels {
         /// The request.
         id: RequestId,
@@ -75,7 +75,7 @@
     /// Queue of the thread that writes to the store.
     pub(crate) store: Sender<FleetEffect>,
     /// Records the metrics of calls.
-    pub(crate) observer: Arc<CallMetrics>,
+    pub(crate) metrics: Arc<CallMetrics>,
 }
 
 /// Owns the reducer and performs its effects.
@@ -126,7 +126,7 @@
                 self.apply(Input::Schedule(Event::Tick));
                 self.update_ready(now_ms);
                 self.handlers
-                    .observer
+                    .metrics
                     .set_open_calls(self.reducer.call_count());
                 next_tick_ms = now_ms + TICK_MS;
             }
@@ -200,16 +200,16 @@
                 self.configuration = Some(Arc::clone(configuration));
                 let now_ms = self.clock.now_ms();
                 self.configured_at_ms.get_or_insert(now_ms);
-                self.handlers.observer.set_configuration(configuration);
+                self.handlers.metrics.set_configuration(configuration);
                 self.handlers.engines.set_configuration(configuration);
             }
             Event::DrainStarted => self.draining = true,
             Event::FirstToken { request_id } => {
-                self.handlers.observer.first_token(*request_id);
+                self.handlers.metrics.first_token(*request_id);
             }
             Event::CallFinished { request_id, .. }
             | Event::CallFailed { request_id, .. } => {
-                self.handlers.observer.ended(*request_id);
+                self.handlers.metrics.ended(*request_id);
             }
             _ => {}
         }
@@ -219,7 +219,7 @@
         match effect {
             Effect::Cancel { request_id } => self.calls.cancel(request_id),
             Effect::Dispatch(dispatch) => {
-                self.handlers.observer.dispatched(&dispatch, &self.calls);
+                self.handlers.metrics.dispatched(&dispatch, &self.calls);
                 self.handlers.dispatcher.start(dispatch);
             }
             Effect::DrainComplete => log::info!("event=drain_complete"),
@@ -236,7 +236,7 @@
                 lasted_ms,
             } => self
                 .handlers
-                .observer
+                .metrics
                 .program_ended(&customer, class, lasted_ms),
             Effect::Refuse {
                 request_id,
@@ -249,7 +249,7 @@
                     Value(&refusal.message)
                 );
                 self.handlers
-                    .observer
+                    .metrics
                     .refused(request_id, &refusal, &self.calls);
                 self.calls.refuse(request_id, &refusal);
             }
@@ -264,7 +264,7 @@
         }
     }
 
-    /// Answers a request to open or close a program.
+    /// Responds to a request to open or close a program.
     fn send_reply(&self, id: RequestId, reply: Reply) {
         let (status, body) = match reply {
             Reply::ProgramOpened {
@@ -296,7 +296,7 @@
         });
     }
 
-    /// Answers with the models and adapters of all active endpoints.
+    /// Responds with the models and adapters of all active endpoints.
     fn list_models(&self, id: RequestId, key: Option<KeyHash>) {
         let Some(configuration) = &self.configuration else {
             let refusal =
--- a/crates/core/src/store_link/writer.rs
+++ b/crates/core/src/store_link/writer.rs
@@ -46,7 +46,7 @@
 
 /// Creates the takeover record of the process `of`, unless it exists or this process has a
 /// successor itself; without the second condition two processes could succeed each other.
-/// If the outcome stays unknown, the reducer is told so.
+/// If the outcome stays unknown, sends the reducer [`FleetEvent::TakeoverUnconfirmed`].
 fn claim_takeover(
     context: &Context,
     own: &Incarnation,
@@ -96,7 +96,8 @@
     context.send(FleetEvent::TakeoverRead { of, record });
 }
 
-/// Tells the reducer which process has taken over the programs of this one, if there is one.
+/// Reports to the reducer which process has taken over the programs of this one, if there is
+/// one.
 pub(super) fn report_own_successor(context: &Context, own: &Incarnation) {
     if let Ok(Some(found)) = takeover_record(&context.store, own).read() {
         send_takeover(context, own.clone(), found.value);
--- a/crates/peer/src/acceptor.rs
+++ b/crates/peer/src/acceptor.rs
@@ -16,7 +16,7 @@
 use crate::runtime::Shared;
 use crate::session::SessionServer;
 
-/// Most open accepted connections; more are dropped at once. A fleet of the target size has
+/// Maximum number of open accepted connections. Further ones are closed at once. A fleet of the target size has
 /// 690 instances, and each of them dials this one once.
 const MAX_CONNECTIONS: usize = 2_048;
 
@@ -102,7 +102,7 @@
 
 /// State of an accepted connection.
 pub(crate) struct AcceptedState {
-    /// Set by `hello` and taken by `login`.
+    /// Set by `hello` and removed by `login`.
     challenge: RefCell<Option<Challenge>>,
     is_authenticated: Cell<bool>,
     /// Time of the last ping. Until the first one, of the login or the connection.
@@ -146,7 +146,7 @@
         mut results: peer::LoginResults,
     ) -> capnp::Result<()> {
         let proof = params.get()?.get_proof()?;
-        // Taking the challenge allows only one attempt for each nonce.
+        // Removing the challenge allows only one attempt for each nonce.
         let challenge = self.state.challenge.take();
         let secret = &self.shared.secret;
         let valid = challenge
--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -10,12 +10,13 @@
 };
 use crate::peer_capnp::{call, handover, header, heartbeat, loan, message, peer_address};
 
-/// Largest RPC message in bytes. It bounds what an unauthenticated client can make this
+/// Maximum size of an RPC message in bytes. It bounds what an unauthenticated client can make this
 /// process allocate for one connection. Larger content, such as a handover, has to be sent
 /// in parts.
 pub(crate) const MAX_MESSAGE_BYTES: usize = 16 * 1_024 * 1_024;
 
-/// Largest body in bytes in an RPC message. The other half is left for headers and other fields.
+/// Maximum size in bytes of a body in an RPC message. The other half is left for headers and
+/// other fields.
 pub(crate) const MAX_BODY_BYTES: usize = MAX_MESSAGE_BYTES / 2;
 
 fn check_body_size(body: &[u8]) -> capnp::Result<()> {
@@ -80,7 +81,7 @@
     builder.set_method(call.method.as_str());
     builder.set_path(call.path.as_str());
     builder.set_body(&call.body);
-    builder.set_facts(&call.facts);
+    builder.set_facts(&call.params);
     write_headers(
         &call.headers,
         builder.init_headers(list_length(call.headers.len())?),
@@ -96,7 +97,7 @@
         path: read_text(reader.get_path())?,
         headers: read_headers(reader.get_headers()?)?,
         body: reader.get_body()?.to_vec(),
-        facts: reader.get_facts()?.to_vec(),
+        params: reader.get_facts()?.to_vec(),
     };
     Ok((read_incarnation(reader.get_to())?, call))
 }
--- a/crates/peer/src/config.rs
+++ b/crates/peer/src/config.rs
@@ -9,18 +9,18 @@
 /// Timeouts of connections, messages and forwarded calls, in milliseconds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PeerDeadlines {
-    /// Limit for establishing a TCP connection.
+    /// Maximum time to establish a TCP connection.
     pub connect_ms: u64,
-    /// Limit for each of: the authentication handshake, the reply to a ping, and the
+    /// Maximum time for each of: the authentication handshake, the response to a ping, and the
     /// confirmation of a message.
     pub call_ms: u64,
-    /// Pause between the reply to a ping and the next ping on a dialed connection.
+    /// Pause between the response to a ping and the next ping on a dialed connection.
     pub ping_interval_ms: u64,
     /// An accepted connection is closed when no ping arrives for this long.
     pub silence_ms: u64,
-    /// Limit for the forwarding instance to queue one part of a response.
+    /// Maximum time for the forwarding instance to queue one part of a response.
     pub write_ms: u64,
-    /// Longest wait of the forwarding instance for the next part of a response, including
+    /// Maximum wait of the forwarding instance for the next part of a response, including
     /// the first. Time in which its own reader is blocked does not count.
     pub progress_ms: u64,
 }
--- a/crates/peer/src/connection.rs
+++ b/crates/peer/src/connection.rs
@@ -23,7 +23,7 @@
 use crate::peer_capnp::{peer, session};
 use crate::runtime::Shared;
 
-/// Longest wait for the RPC system of a closed connection to finish.
+/// Maximum wait for the RPC system of a closed connection to finish.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Size of a Cap'n Proto word, the unit of the traversal limit.
@@ -222,13 +222,13 @@
     }
 }
 
-/// Pings the peer at intervals and closes the connection if a reply is late.
+/// Pings the peer at intervals and closes the connection if a response is late.
 async fn ping(shared: Rc<Shared>, session: session::Client, close_handle: CloseHandle) {
     let interval = Duration::from_millis(shared.deadlines.ping_interval_ms);
     let deadline = Duration::from_millis(shared.deadlines.call_ms);
     while !close_handle.is_closed() {
-        let reply = session.ping_request().send().promise;
-        match timeout(deadline, reply).await {
+        let response = session.ping_request().send().promise;
+        match timeout(deadline, response).await {
             Ok(Ok(_)) => sleep(interval).await,
             _ => close_handle.close(),
         }
--- a/crates/peer/src/forward.rs
+++ b/crates/peer/src/forward.rs
@@ -67,9 +67,9 @@
         ));
     }
     // From here on, bytes of the call may have left this process.
-    let reply = request.send().promise;
-    let reply = tokio::select! {
-        reply = reply => reply,
+    let response = request.send().promise;
+    let response = tokio::select! {
+        response = response => response,
         () = connection.close_handle.closed() => {
             let text = "the connection was closed while the call ran";
             return Err(PeerFailure::possibly_reached(PeerFailureKind::Disconnected, text));
@@ -79,8 +79,8 @@
             return Err(PeerFailure::possibly_reached(PeerFailureKind::Timeout, text));
         }
     };
-    let reply = reply.map_err(rpc_failed)?;
-    let outcome = reply.get().and_then(|results| results.get_outcome());
+    let response = response.map_err(rpc_failed)?;
+    let outcome = response.get().and_then(|results| results.get_outcome());
     read_outcome(outcome.map_err(rpc_failed)?)
 }
 
@@ -104,7 +104,7 @@
     }
 }
 
-/// An RPC error or malformed reply after the call was sent.
+/// An RPC error or malformed response after the call was sent.
 fn rpc_failed(err: capnp::Error) -> PeerFailure {
     PeerFailure::possibly_reached(PeerFailureKind::Disconnected, err.to_string())
 }
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -15,8 +15,8 @@
 use crate::message::PeerMessage;
 use crate::runtime::Shared;
 
-/// Most pending messages to one peer. More are rejected as overload.
-const MAX_PENDING: usize = 1_000;
+/// Maximum number of pending messages to one peer. Further ones are rejected as overload.
+const MAX_PENDING_MESSAGES: usize = 1_000;
 
 /// Pause after a failed dial. Messages and calls that waited for the dial, or that follow
 /// within the pause, fail with the same error.
@@ -105,7 +105,7 @@
         shared: &Rc<Shared>,
         message: &PeerMessage,
     ) -> Result<(), PeerFailure> {
-        if self.pending.get() >= MAX_PENDING {
+        if self.pending.get() >= MAX_PENDING_MESSAGES {
             let text = format!("too many messages to peer {} are pending", self.name);
             return Err(PeerFailure::not_reached(PeerFailureKind::Overloaded, text));
         }
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -162,7 +162,7 @@
     pub body: Vec<u8>,
     /// JSON of what the serving instance needs beyond the HTTP request, such as the hash of
     /// the caller's key. Opaque to this crate.
-    pub facts: Vec<u8>,
+    pub params: Vec<u8>,
 }
 
 /// Identifies a call that a peer forwarded to this instance. Unique within the process.
@@ -194,7 +194,7 @@
         response: ResponseSender,
     },
     /// The forwarding instance cancelled the call or its connection was lost. Not sent once
-    /// the network has taken the last part of the response.
+    /// the network has received the last part of the response from [`ResponseSender`].
     ForwardCancelled {
         /// The id from `Forwarded`.
         id: ForwardId,
--- a/crates/peer/src/response.rs
+++ b/crates/peer/src/response.rs
@@ -6,11 +6,11 @@
 
 use crate::error::{PeerFailure, PeerFailureKind, ResponseClosed};
 
-/// Parts that may be queued between the network thread and the thread that reads or writes
+/// Maximum number of parts queued between the network thread and the thread that reads or writes
 /// the response. A longer queue would only delay the backpressure of a slow reader.
 pub(crate) const MAX_QUEUED_PARTS: usize = 4;
 
-/// Most body bytes in one part. Larger chunks are split.
+/// Maximum number of body bytes in one part. Larger chunks are split.
 pub(crate) const MAX_CHUNK_BYTES: usize = 256 * 1_024;
 
 /// Status and headers of a response.
--- a/crates/peer/src/runtime.rs
+++ b/crates/peer/src/runtime.rs
@@ -22,7 +22,7 @@
 use crate::response::ResponsePart;
 
 /// Interval of the checks, while closing, for pending deliveries and open connections.
-const CLOSE_POLL: Duration = Duration::from_millis(10);
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A method call of [`PeerNetwork`](crate::PeerNetwork) or `close`, sent from another thread.
 pub(crate) enum Command {
@@ -159,6 +159,6 @@
 async fn wait_until(limit_ms: u64, is_done: impl Fn() -> bool) {
     let end = Instant::now() + Duration::from_millis(limit_ms);
     while !is_done() && Instant::now() < end {
-        sleep(CLOSE_POLL).await;
+        sleep(CLOSE_POLL_INTERVAL).await;
     }
 }
--- a/crates/peer/src/session.rs
+++ b/crates/peer/src/session.rs
@@ -14,7 +14,7 @@
 use crate::response::{MAX_QUEUED_PARTS, ResponseHead, ResponsePart, ResponseSender};
 use crate::runtime::Shared;
 
-/// Most events in the channel to the rest of the process. While it holds this many, messages
+/// Maximum number of events in the channel to the rest of the process. While it holds this many, messages
 /// and calls of peers are rejected.
 const MAX_EVENTS: usize = 10_000;
 
--- a/crates/peer/tests/message.rs
+++ b/crates/peer/tests/message.rs
@@ -17,7 +17,7 @@
 use support::{DEADLINES, EVENT_TIMEOUT, Instance, incarnation, message, start_pair};
 use test_case::test_case;
 
-/// Most messages that a test sends until one is delivered.
+/// Maximum number of messages that a test sends until one is delivered.
 const MAX_ATTEMPTS: u64 = 20;
 
 fn heartbeat(state: HeartbeatState, store_contact_age_ms: Option<u64>) -> Heartbeat {
@@ -102,7 +102,7 @@
 }
 
 /// Guards against seed addresses that are not resolved to an instance, and against an instance
-/// of another fleet that is taken for a peer.
+/// of another fleet that is accepted as a peer.
 #[test]
 fn discovery_finds_only_instances_of_the_fleet() {
     let a = Instance::start("a.1");
--- a/crates/peer/tests/support/mod.rs
+++ b/crates/peer/tests/support/mod.rs
@@ -15,7 +15,7 @@
     ResponseSender, TcpPeerNetwork,
 };
 
-/// Longest wait for an event. Far above the timeouts under test, since other programs may use
+/// Maximum wait for an event. Far above the timeouts under test, since other programs may use
 /// the machine at the same time.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
 
@@ -132,7 +132,7 @@
         path: "/files?x=1".to_string(),
         headers: vec![("content-type".to_string(), "text/plain".to_string())],
         body: b"body".to_vec(),
-        facts: b"{}".to_vec(),
+        params: b"{}".to_vec(),
     }
 }
 
