--- a/crates/endpoint/src/call.rs
+++ b/crates/endpoint/src/call.rs
@@ -40,7 +40,7 @@
 pub struct Usage {
     /// All prompt tokens, including cached ones.
     pub prompt_tokens: u64,
-    /// Prompt tokens that the engine took from its prefix cache. At most `prompt_tokens`.
+    /// Prompt tokens that the engine served from its prefix cache. At most `prompt_tokens`.
     pub cached_tokens: u64,
     /// Generated tokens.
     pub generated_tokens: u64,
--- a/crates/endpoint/src/client.rs
+++ b/crates/endpoint/src/client.rs
@@ -15,7 +15,7 @@
 /// Settings of an [`HttpEndpointClient`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ClientSettings {
-    /// Most idle connections kept open for each endpoint.
+    /// Maximum number of idle connections kept open for each endpoint.
     pub max_idle_per_endpoint: usize,
     /// An idle connection older than this is not reused. Common servers keep idle
     /// connections open for at least 5 s. A shorter limit here makes it rare that the server
--- a/crates/endpoint/src/engine.rs
+++ b/crates/endpoint/src/engine.rs
@@ -19,8 +19,8 @@
 };
 use crate::client::HttpEndpointClient;
 
-/// Most bytes of an engine's response. A cache tag takes about 60 bytes, so this is enough
-/// for about 70,000 tags.
+/// Maximum size of an engine's response in bytes. A cache tag takes about 60 bytes, so this
+/// is enough for about 70,000 tags.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 /// Timeout for establishing a connection. Set by section 4.6 of the design.
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
@@ -210,7 +210,7 @@
     }
 }
 
-/// Collects a response up to the size limit.
+/// Collects a response of at most [`MAX_RESPONSE_BYTES`].
 #[derive(Default)]
 struct ResponseCollector {
     status: u16,
--- a/crates/endpoint/src/exchange.rs
+++ b/crates/endpoint/src/exchange.rs
@@ -14,7 +14,7 @@
 use crate::failure;
 use crate::transport::{CallState, FixedResolver, MAX_HEAD_BYTES, SocketConnector};
 
-/// Largest piece of a response body passed to the observer at once.
+/// Maximum size in bytes of a piece of a response body passed to the observer.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// Converts a request to the type that ureq sends.
--- a/crates/endpoint/src/failure.rs
+++ b/crates/endpoint/src/failure.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// Whether a request ran, given the status of its response. An error status does not tell
+/// Whether a request ran, given the status of its response. An error status does not show
 /// whether the request had an effect before the error.
 pub(crate) fn ran_by_status(status: u16) -> Ran {
     match status {
--- a/crates/endpoint/src/pool.rs
+++ b/crates/endpoint/src/pool.rs
@@ -72,6 +72,7 @@
         return false;
     }
     let peeked = socket.peek(&mut [0; 1]);
-    let is_idle = matches!(peeked, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
+    let is_idle =
+        matches!(peeked, Err(error) if error.kind() == std::io::ErrorKind::WouldBlock);
     is_idle && socket.set_nonblocking(false).is_ok()
 }
--- a/crates/endpoint/src/transport.rs
+++ b/crates/endpoint/src/transport.rs
@@ -15,7 +15,7 @@
     Buffers, ConnectionDetails, Connector, LazyBuffers, NextTimeout, Transport,
 };
 
-/// Most bytes of a response head.
+/// Maximum size of a response head in bytes.
 pub(crate) const MAX_HEAD_BYTES: usize = 32 * 1024;
 /// Size of the input buffer of a connection. A complete response head must fit into it.
 const INPUT_BUFFER_BYTES: usize = MAX_HEAD_BYTES;
@@ -118,7 +118,7 @@
 }
 
 impl SocketTransport {
-    /// Remembers whether the error is a timeout, which ureq's error does not tell.
+    /// Remembers whether the error is a timeout, which ureq's error does not show.
     fn io_error(&self, error: io::Error) -> ureq::Error {
         if is_timeout(&error) {
             self.state.timed_out.store(true, Ordering::SeqCst);
--- a/crates/endpoint/src/usage.rs
+++ b/crates/endpoint/src/usage.rs
@@ -4,8 +4,8 @@
 
 use crate::call::Usage;
 
-/// Most bytes that are buffered of a JSON response, or of one line of an event stream. Usage
-/// in anything longer is ignored.
+/// Maximum number of bytes buffered of a JSON response, or of one line of an event stream.
+/// Usage in anything longer is ignored.
 const MAX_BUFFERED_BYTES: usize = 4 * 1024 * 1024;
 
 /// Reads the token usage of a response while its body is forwarded.
@@ -27,7 +27,7 @@
 }
 
 /// A buffer of at most [`MAX_BUFFERED_BYTES`]. On overflow it drops its content and all that
-/// follows, until it is taken.
+/// follows, until [`BoundedBuffer::take`] empties it.
 #[derive(Debug, Default)]
 struct BoundedBuffer {
     bytes: Vec<u8>,
--- a/crates/endpoint/tests/engine.rs
+++ b/crates/endpoint/tests/engine.rs
@@ -67,7 +67,7 @@
 }
 
 /// Guards against an unknown state that counts as loaded, and against an engine that does not
-/// report models being taken for one without models.
+/// report models being treated as one without models.
 #[test_case("404 Not Found", "{}"; "models are not reported")]
 #[test_case("200 OK", r#"{"models":[{"model":"m","state":"new"}]}"#; "unknown state")]
 fn bad_models_response_is_an_error(status: &'static str, body: &'static str) {
@@ -76,7 +76,7 @@
     assert!(client.models(&engine.address.to_string()).is_err());
 }
 
-/// Guards against a bad response being taken for an idle engine or an empty cache.
+/// Guards against a bad response being treated as an idle engine or an empty cache.
 #[test_case("500 No", "{\"running\":0,\"waiting\":0,\"tags\":[]}"; "error status")]
 #[test_case("200 OK", ""; "empty body")]
 #[test_case("200 OK", "{}"; "missing fields")]
--- a/crates/endpoint/tests/exchange.rs
+++ b/crates/endpoint/tests/exchange.rs
@@ -112,7 +112,7 @@
     assert_eq!(record.body, b"");
 }
 
-/// Guards against a 1xx response that is taken for the final one.
+/// Guards against a 1xx response that is treated as the final one.
 #[test_case("HTTP/1.1 100 Continue\r\n\r\n"; "continue")]
 #[test_case("HTTP/1.1 103 Early Hints\r\nlink: </a>\r\n\r\n"; "early hints")]
 fn interim_response_is_skipped(interim: &'static str) {
--- a/crates/endpoint/tests/failures.rs
+++ b/crates/endpoint/tests/failures.rs
@@ -59,7 +59,7 @@
 }
 
 /// Guards against a sent request being reported as not run, and against incomplete responses
-/// being taken for complete ones.
+/// being treated as complete ones.
 #[test_case("", Ran::Unknown; "no response")]
 #[test_case("HTTP/1.1 200 O", Ran::Unknown; "half a status line")]
 #[test_case("HTTP/1.1 200 OK\r\ncontent-le", Ran::Unknown; "half a head")]
@@ -89,8 +89,8 @@
     assert_eq!(failure.reason, RefusalReason::EndpointFailed);
 }
 
-/// Guards against a silent endpoint that blocks a call forever, and against silence being taken
-/// for the end of a response.
+/// Guards against a silent endpoint that blocks a call forever, and against silence being
+/// treated as the end of a response.
 #[test_case("", Ran::Unknown; "before the head")]
 #[test_case("HTTP/1.1 200 OK\r\nconte", Ran::Unknown; "in the head")]
 #[test_case("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf", Ran::Yes; "in the body")]
@@ -125,7 +125,7 @@
 }
 
 /// Guards against a response head of unlimited size, and against one that exceeds the buffer
-/// being taken for a closed connection.
+/// being treated as a closed connection.
 #[test]
 fn too_large_head_fails_the_call() {
     let endpoint = endpoint(|connection| {
--- a/crates/endpoint/tests/support/mod.rs
+++ b/crates/endpoint/tests/support/mod.rs
@@ -12,7 +12,7 @@
     HttpEndpointClient, ResponseHead,
 };
 
-/// Longest wait for a result. Far above the waits of a passing test.
+/// Maximum wait for a result. Far above the waits of a passing test.
 pub const RESULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A connection that the scripted endpoint accepted.
--- a/crates/server/src/admin/route.rs
+++ b/crates/server/src/admin/route.rs
@@ -96,7 +96,7 @@
     }
 }
 
-/// Parses a version in quotes. Only digits are accepted, because `parse` also takes a sign.
+/// Parses a version in quotes. Only digits are accepted, because `parse` also accepts a sign.
 fn parse_version(tag: &str) -> Option<u64> {
     let digits = tag.strip_prefix('"')?.strip_suffix('"')?;
     match digits.bytes().all(|byte| byte.is_ascii_digit()) {
--- a/crates/server/src/body_budget.rs
+++ b/crates/server/src/body_budget.rs
@@ -1,4 +1,4 @@
-//! A limit on the total memory of request bodies.
+//! Limits the total memory of request bodies.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,14 +7,14 @@
 #[derive(Debug)]
 pub(crate) struct BodyBudget {
     used_bytes: AtomicU64,
-    limit_bytes: u64,
+    max_bytes: u64,
 }
 
 impl BodyBudget {
-    pub(crate) fn new(limit_bytes: u64) -> Arc<BodyBudget> {
+    pub(crate) fn new(max_bytes: u64) -> Arc<BodyBudget> {
         Arc::new(BodyBudget {
             used_bytes: AtomicU64::new(0),
-            limit_bytes,
+            max_bytes,
         })
     }
 
@@ -37,16 +37,16 @@
 impl Reservation {
     /// Reserves `bytes` more. Returns false, and reserves nothing, if they exceed the budget.
     pub(crate) fn grow(&mut self, bytes: u64) -> bool {
-        let limit = self.budget.limit_bytes;
-        let taken = self.budget.used_bytes.fetch_update(
+        let max_bytes = self.budget.max_bytes;
+        let reserved = self.budget.used_bytes.fetch_update(
             Ordering::Relaxed,
             Ordering::Relaxed,
-            |used| used.checked_add(bytes).filter(|sum| *sum <= limit),
+            |used| used.checked_add(bytes).filter(|sum| *sum <= max_bytes),
         );
-        if taken.is_ok() {
+        if reserved.is_ok() {
             self.bytes += bytes;
         }
-        taken.is_ok()
+        reserved.is_ok()
     }
 }
 
--- a/crates/server/src/caller_service.rs
+++ b/crates/server/src/caller_service.rs
@@ -178,8 +178,8 @@
         return Ok((operation, body));
     }
     let parsed = tokio::task::spawn_blocking(move || {
-        let facts = chat::parse(&body)?;
-        Ok((Operation::ChatCompletion(facts), body))
+        let params = chat::parse(&body)?;
+        Ok((Operation::ChatCompletion(params), body))
     });
     parsed.await.unwrap_or_else(|error| {
         log::error!("event=parse_failed error={error:?}");
--- a/crates/server/src/connection.rs
+++ b/crates/server/src/connection.rs
@@ -29,7 +29,7 @@
     ) -> BoxFuture<'static, Result<Response<ResponseBody>, IncompleteResponse>>;
 }
 
-/// Serves one connection until the peer closes it, a timeout passes or a response stays
+/// Serves one connection until the client closes it, a timeout passes or a response stays
 /// incomplete.
 pub(crate) async fn serve(
     stream: TcpStream,
@@ -107,7 +107,7 @@
 }
 
 /// Closes the connection. Closing a socket with unread input sends a reset, on which the
-/// peer may discard the last response before it has read it. So this shuts down the output
+/// client may discard the last response before it has read it. So this shuts down the output
 /// first and discards input until its end, for up to `linger_ms`.
 async fn close_gracefully(
     mut stream: TcpStream,
--- a/crates/server/src/headers.rs
+++ b/crates/server/src/headers.rs
@@ -98,7 +98,7 @@
     }
 }
 
-/// Parses `Jayreel-Turn`. Only digits are accepted, because `parse` also takes a sign.
+/// Parses `Jayreel-Turn`. Only digits are accepted, because `parse` also accepts a sign.
 fn turn(headers: &HeaderMap) -> Result<Option<u32>, Refusal> {
     let Some(turn) = ascii_value(headers, "jayreel-turn", MAX_NAME_BYTES)? else {
         return Ok(None);
--- a/crates/server/src/listener.rs
+++ b/crates/server/src/listener.rs
@@ -19,7 +19,7 @@
 /// [`ACCEPT_RETRY_DELAY`] this takes 5 s.
 const MAX_ACCEPT_FAILURES_ON_STOP: usize = 50;
 /// Maximum number of threads for work that would block the connection thread.
-const BLOCKING_THREADS: usize = 8;
+const MAX_BLOCKING_THREADS: usize = 8;
 
 /// Stage of the graceful shutdown of a listener. Never goes back to an earlier stage.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -69,7 +69,7 @@
         let address = listener.local_addr()?;
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
-            .max_blocking_threads(BLOCKING_THREADS)
+            .max_blocking_threads(MAX_BLOCKING_THREADS)
             .build()?;
         let shared = Arc::new(Shared {
             service,
--- a/crates/server/src/metrics.rs
+++ b/crates/server/src/metrics.rs
@@ -99,8 +99,8 @@
             .customers
             .write()
             .unwrap_or_else(PoisonError::into_inner);
-        for gone in customers.difference(&new) {
-            self.remove_customer(gone);
+        for removed in customers.difference(&new) {
+            self.remove_customer(removed);
         }
         *customers = new;
     }
--- a/crates/server/src/read_body.rs
+++ b/crates/server/src/read_body.rs
@@ -44,8 +44,8 @@
 }
 
 fn too_large(settings: &ServerSettings) -> Refusal {
-    let limit = settings.max_body_bytes;
-    let message = format!("the body is larger than {limit} bytes");
+    let max_bytes = settings.max_body_bytes;
+    let message = format!("the body is larger than {max_bytes} bytes");
     Refusal::not_run(RefusalReason::BodyTooLarge, message)
 }
 
--- a/crates/server/src/responder.rs
+++ b/crates/server/src/responder.rs
@@ -90,7 +90,7 @@
     }
 
     /// Ends a response that cannot be completed. The connection is reset, so that the caller
-    /// can tell that the response is incomplete. Does not block.
+    /// can detect that the response is incomplete. Does not block.
     pub fn abort(self) {
         self.sink.abort();
     }
--- a/crates/server/src/response_channel.rs
+++ b/crates/server/src/response_channel.rs
@@ -80,12 +80,12 @@
     reservation: Reservation,
 ) -> (ChannelSink, PendingResponse) {
     let (head_sender, head) = oneshot::channel();
-    let (piece_sender, chunks) = mpsc::channel(MAX_QUEUED_CHUNKS);
+    let (chunk_sender, chunks) = mpsc::channel(MAX_QUEUED_CHUNKS);
     let progress = Arc::new(Progress::default());
     let sink = ChannelSink {
         id,
         head: Some(head_sender),
-        chunks: piece_sender,
+        chunks: chunk_sender,
         progress: Arc::clone(&progress),
     };
     let guard = CallerGuard {
--- a/crates/server/src/timeout_stream.rs
+++ b/crates/server/src/timeout_stream.rs
@@ -265,7 +265,7 @@
             }
             Poll::Pending if self.is_read_timed_out(context) => {
                 self.report_read_timeout();
-                // hyper takes an empty read for the end of the input and closes.
+                // hyper treats an empty read as the end of the input and closes.
                 Poll::Ready(Ok(()))
             }
             Poll::Pending => Poll::Pending,
--- a/crates/server/tests/admin.rs
+++ b/crates/server/tests/admin.rs
@@ -101,9 +101,10 @@
     assert_eq!(requests[0].expected, Some(ExpectedVersion::Is(41)));
     assert_eq!(requests[0].body, b"{\"a\":1}");
     assert_eq!(requests[1].expected, Some(ExpectedVersion::Absent));
-    let taken = send_request(server.address(), "PUT /admin/v1/profiles/taken", KEY, "{}");
-    assert_eq!(taken.status, 412);
-    assert!(taken.text().contains("\"code\":\"version_mismatch\""));
+    let mismatch =
+        send_request(server.address(), "PUT /admin/v1/profiles/taken", KEY, "{}");
+    assert_eq!(mismatch.status, 412);
+    assert!(mismatch.text().contains("\"code\":\"version_mismatch\""));
     server.close(Some(TIMEOUT));
 }
 
--- a/crates/server/tests/requests.rs
+++ b/crates/server/tests/requests.rs
@@ -39,13 +39,13 @@
     let request = fixture.next_request();
     assert_eq!(request.body, body.as_bytes());
     assert_eq!(request.passed_headers, Vec::new());
-    let Operation::ChatCompletion(facts) = request.operation else {
+    let Operation::ChatCompletion(params) = request.operation else {
         panic!("not a chat completion");
     };
-    assert_eq!((facts.model.as_str(), facts.stream), ("m", true));
-    assert_eq!(facts.max_tokens, Some(9));
-    assert_eq!(facts.prompt_bound_tokens, 6 + 2 * 16);
-    assert_eq!(facts.prefix_hashes.len(), 1);
+    assert_eq!((params.model.as_str(), params.stream), ("m", true));
+    assert_eq!(params.max_tokens, Some(9));
+    assert_eq!(params.prompt_bound_tokens, 6 + 2 * 16);
+    assert_eq!(params.prefix_hashes.len(), 1);
 }
 
 /// Guards against `Jayreel-` headers and idempotency keys that are lost or misparsed.
@@ -126,8 +126,8 @@
     client.send(post("/v1/chat/completions", "", &body));
     let request = fixture.next_request();
     assert_eq!(request.body.len(), body.len());
-    let Operation::ChatCompletion(facts) = request.operation else {
+    let Operation::ChatCompletion(params) = request.operation else {
         panic!("not a chat completion");
     };
-    assert_eq!(facts.prompt_bound_tokens, 500_004 + 2 * 16);
+    assert_eq!(params.prompt_bound_tokens, 500_004 + 2 * 16);
 }
--- a/crates/server/tests/responses.rs
+++ b/crates/server/tests/responses.rs
@@ -73,9 +73,9 @@
     assert_eq!(handler.disconnected(), Vec::new());
 }
 
-/// Guards against an HTTP/1.0 caller taking an aborted response for a complete one. Without
-/// chunked encoding the end of the connection ends the body, so only a reset tells them
-/// apart.
+/// Guards against an HTTP/1.0 caller that treats an aborted response as complete. Without
+/// chunked encoding the end of the connection ends the body, so only a reset shows that the
+/// response is incomplete.
 #[test]
 fn aborted_response_resets_http_1_0_connection() {
     let fixture = Fixture::start(ServerSettings::default());
@@ -277,13 +277,13 @@
     let mut responder = fixture.next_request().responder;
     responder.head(200, &[]).expect("the caller waits");
     let chunk = vec![b'x'; 1 << 20];
-    let mut taken = 0;
+    let mut queued = 0;
     while responder.try_chunk(&chunk) == Ok(true) {
-        taken += 1;
+        queued += 1;
     }
     assert_eq!(responder.try_chunk(&chunk), Ok(false));
     responder.close();
     let response = client.read_response().expect("a response");
     assert!(response.complete);
-    assert_eq!(response.body.len(), taken << 20);
+    assert_eq!(response.body.len(), queued << 20);
 }
--- a/crates/server/tests/support/mod.rs
+++ b/crates/server/tests/support/mod.rs
@@ -190,7 +190,8 @@
         }
     }
 
-    /// Takes `count` bytes. Returns fewer, and false, if the connection ends before.
+    /// Removes `count` bytes from the buffer and returns them. Returns fewer, and false, if
+    /// the connection ends before.
     fn read_exact(&mut self, count: usize) -> (Vec<u8>, bool) {
         while self.buffered.len() < count {
             if !self.read_more() {
