--- a/crates/fleet/src/cache_sweep.rs
+++ b/crates/fleet/src/cache_sweep.rs
@@ -19,7 +19,7 @@
 /// callers can still return before.
 const PREDECESSOR_CACHE_MS: u64 = 900_000;
 
-/// Largest number of tags in one query to a peer. The other tags wait for the next sweep.
+/// Maximum number of tags in one query to a peer. The other tags wait for the next sweep.
 const MAX_QUERIED_TAGS: usize = 1_000;
 
 /// State between the steps of a sweep: list the tags, query their owners, release.
@@ -84,7 +84,7 @@
         self.query_owners();
     }
 
-    /// Those of the tags that this instance still needs. The answer to a peer's query.
+    /// Those of the tags that this instance still needs. Sent as the reply to a peer's query.
     pub(crate) fn owned_tags(&self, now_ms: u64, tags: Vec<String>) -> Vec<String> {
         let is_owned = |text: &String| {
             let tag: Result<CacheTag, _> = text.parse();
@@ -93,7 +93,7 @@
         tags.into_iter().filter(is_owned).collect()
     }
 
-    /// Handles the answer of a peer to a query: releases the queried tags that it does not
+    /// Handles the reply of a peer to a query: releases the queried tags that it does not
     /// own any more.
     pub(crate) fn release_unowned_tags(&mut self, from: &str, owned: &[String]) {
         let queried = self.cache_sweep.queried.remove(from).unwrap_or_default();
@@ -127,9 +127,9 @@
     /// Whether the tag belongs to a live program of this process, or to a predecessor's
     /// program whose caller may still return.
     fn is_tag_in_use(&self, now_ms: u64, tag: &CacheTag) -> bool {
-        let is_predecessors = tag.owner != self.settings.own;
+        let is_of_predecessor = tag.owner != self.settings.own;
         self.programs.owns_cache_tag(tag)
-            || (is_predecessors
+            || (is_of_predecessor
                 && !self.is_absent_for(now_ms, &tag.owner, PREDECESSOR_CACHE_MS))
     }
 
@@ -166,8 +166,8 @@
             })
             .collect();
         for (peer, tags) in queries {
-            // The answer releases all queried tags that it does not name, so tags beyond
-            // the limit must not count as queried.
+            // The reply releases all queried tags that it does not name, so tags beyond
+            // the maximum must not count as queried.
             if let Some(queried) = self.cache_sweep.queried.get_mut(&peer) {
                 queried.retain(|tag, _| tags.contains(tag));
             }
--- a/crates/fleet/src/engine_state.rs
+++ b/crates/fleet/src/engine_state.rs
@@ -5,16 +5,16 @@
 
 use jayreel_model::{EngineModels, EngineOrder};
 
-/// After this time without an answer an order counts as ended. Longer than all timeouts of
+/// After this time without a response an order counts as ended. Longer than all timeouts of
 /// one request together with its wait for a thread.
-const ANSWER_TIMEOUT_MS: u64 = 30_000;
+const ORDER_RESPONSE_TIMEOUT_MS: u64 = 30_000;
 
 /// Delay before an order that had no effect is sent again. It doubles with each attempt up to
 /// [`MAX_RETRY_DELAY_MS`], so that failing loads do not use up the rate of the store that holds
 /// the model weights.
 const INITIAL_RETRY_DELAY_MS: u64 = 5_000;
 
-/// Largest delay between two attempts to send the same order.
+/// Maximum delay between two attempts to send the same order.
 const MAX_RETRY_DELAY_MS: u64 = 60_000;
 
 /// The outcome of an order to an engine.
@@ -45,8 +45,8 @@
     fencing: u64,
     order: EngineOrder,
     sent_at_ms: u64,
-    /// When the answer or the failure of the request arrived.
-    answered_at_ms: Option<u64>,
+    /// When the response or the failure of the request arrived.
+    responded_at_ms: Option<u64>,
 }
 
 /// Backoff of an order that was sent and is still needed.
@@ -96,22 +96,22 @@
             fencing,
             order: order.clone(),
             sent_at_ms: now_ms,
-            answered_at_ms: None,
+            responded_at_ms: None,
         });
     }
 
-    /// Records the answer to the order with this fencing number.
-    pub(crate) fn record_answer(
+    /// Records the response to the order with this fencing number.
+    pub(crate) fn record_response(
         &mut self,
         now_ms: u64,
         fencing: u64,
-        answer: OrderAnswer,
+        response: OrderAnswer,
     ) {
         match &mut self.sent {
-            Some(sent) if sent.fencing == fencing => sent.answered_at_ms = Some(now_ms),
+            Some(sent) if sent.fencing == fencing => sent.responded_at_ms = Some(now_ms),
             _ => {}
         }
-        if answer == OrderAnswer::Superseded {
+        if response == OrderAnswer::Superseded {
             self.highest_superseded_revision =
                 self.highest_superseded_revision.max(fencing);
         }
@@ -122,16 +122,16 @@
         revision <= self.highest_superseded_revision
     }
 
-    /// Whether the effect of the last order is still unknown: it has no answer yet, or no
-    /// report was requested since the answer.
+    /// Whether the effect of the last order is still unknown: it has no response yet, or no
+    /// report was requested since the response.
     pub(crate) fn is_outcome_unknown(&self, now_ms: u64) -> bool {
         let Some(sent) = &self.sent else {
             return false;
         };
-        let end_ms = match sent.answered_at_ms {
+        let end_ms = match sent.responded_at_ms {
             Some(at_ms) => at_ms,
-            None if now_ms < sent.sent_at_ms + ANSWER_TIMEOUT_MS => return true,
-            None => sent.sent_at_ms + ANSWER_TIMEOUT_MS,
+            None if now_ms < sent.sent_at_ms + ORDER_RESPONSE_TIMEOUT_MS => return true,
+            None => sent.sent_at_ms + ORDER_RESPONSE_TIMEOUT_MS,
         };
         let seen_at_ms = self.report.as_ref().map(|report| report.sent_at_ms);
         seen_at_ms.is_none_or(|at_ms| at_ms <= end_ms)
@@ -144,7 +144,7 @@
         let sent = self.sent.as_ref();
         let is_ordered = sent.is_some_and(|sent| {
             sent.order.is_load()
-                && now_ms < sent.sent_at_ms + ANSWER_TIMEOUT_MS
+                && now_ms < sent.sent_at_ms + ORDER_RESPONSE_TIMEOUT_MS
                 && self.is_outcome_unknown(now_ms)
         });
         let is_reported = self.report.as_ref().is_some_and(|report| {
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -17,7 +17,7 @@
 /// A message between two instances. It may be lost or arrive more than once.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerMessage {
-    /// Answer to [`PeerMessage::CacheTagQuery`]: those of its cache tags that the sender
+    /// Reply to [`PeerMessage::CacheTagQuery`]: those of its cache tags that the sender
     /// still needs.
     CacheTagsOwned(Vec<String>),
     /// Asks which of these cache tags the receiver still needs for its programs. The sender
@@ -30,7 +30,7 @@
     /// Asks whether the peer is alive and carries the sender's state. The receiver sends
     /// [`PeerMessage::HeartbeatAnswer`].
     Heartbeat(Heartbeat),
-    /// Answer to a heartbeat, with the state of the instance that answers.
+    /// Reply to a heartbeat, with the state of the replying instance.
     HeartbeatAnswer(Heartbeat),
     /// One part of the idempotency keys that a stopping process has seen in calls without a
     /// program.
@@ -40,7 +40,7 @@
         /// Number of the part, from 0, as in the `KeyedHandover` that it confirms.
         part: u32,
     },
-    /// Answer to a loan request: lends a part of the sender's rate to the receiver.
+    /// Reply to a loan request: lends a part of the sender's rate to the receiver.
     LoanGrant(LoanGrant),
     /// Asks to borrow a part of the receiver's rate for one customer.
     LoanRequest(LoanRequest),
@@ -74,7 +74,7 @@
 /// An event from a peer, the store, an engine or the instance itself.
 #[derive(Clone, Debug)]
 pub enum FleetEvent {
-    /// The budget record of a predecessor was read from the store, in answer to
+    /// The budget record of a predecessor was read from the store, as requested by
     /// [`FleetEffect::ReadBudget`].
     BudgetRead {
         /// The incarnation that wrote the record.
@@ -104,7 +104,8 @@
         /// Modification revision of the record, 0 if the store has none.
         version: u64,
     },
-    /// The store answered a write of the home weights. Not sent if the outcome is unknown.
+    /// The store responded to a write of the home weights. Not sent if the outcome is
+    /// unknown.
     HomeWeightsWritten {
         /// The version that the write was to replace, 0 if it was to create the record.
         version: u64,
@@ -123,13 +124,13 @@
         /// Models and adapters of the engine, with the fencing number of its last order.
         models: EngineModels,
     },
-    /// An engine answered an order, or the request failed.
+    /// An engine responded to an order, or the request failed.
     OrderAnswered {
         /// Name of the engine's endpoint.
         endpoint: String,
         /// Fencing number of the order, from [`FleetEffect::SendOrder`].
         fencing: u64,
-        /// Whether the engine took the order.
+        /// Whether the engine accepted the order.
         answer: OrderAnswer,
     },
     /// A message of a peer arrived.
@@ -161,7 +162,7 @@
     /// The last step of a planned stop: all calls have ended or were cut off, and no more
     /// will arrive. Programs and idempotency keys can be handed over and rates returned.
     ServingEnded,
-    /// An engine listed the cache tags that it holds, in answer to
+    /// An engine listed the cache tags that it holds, as requested by
     /// [`FleetEffect::ListCacheTags`].
     CacheTagsListed {
         /// Name of the engine's endpoint.
@@ -213,18 +214,18 @@
 /// An action that the caller of the state machine carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetEffect {
-    /// Create a takeover record in the store unless there is one already. Answered with
-    /// [`FleetEvent::TakeoverRead`], which carries the record that the store has then, or with
-    /// [`FleetEvent::TakeoverUnconfirmed`].
+    /// Create a takeover record in the store unless there is one already. The result arrives
+    /// as [`FleetEvent::TakeoverRead`], which carries the record that the store has then, or
+    /// as [`FleetEvent::TakeoverUnconfirmed`].
     ClaimTakeover {
         /// The incarnation whose programs are taken over.
         of: Incarnation,
         /// The record to create.
         record: TakeoverRecord,
     },
-    /// Read the budget record of an incarnation that this process succeeds. Answered with
-    /// [`FleetEvent::BudgetRead`], or with [`FleetEvent::TakeoverUnconfirmed`] if the read
-    /// fails.
+    /// Read the budget record of an incarnation that this process succeeds. The result
+    /// arrives as [`FleetEvent::BudgetRead`], or as [`FleetEvent::TakeoverUnconfirmed`] if
+    /// the read fails.
     ReadBudget {
         /// The incarnation that wrote the record.
         of: Incarnation,
@@ -236,14 +237,14 @@
         /// The message to encode and send.
         message: PeerMessage,
     },
-    /// Tell an engine to drop the cache of a program that nobody uses any more.
+    /// Request that an engine drop the cache of a program that nobody uses any more.
     ReleaseCacheTag {
         /// Name of the engine's endpoint.
         endpoint: String,
         /// Tag under which the engine keeps the program's cache.
         cache_tag: String,
     },
-    /// Send an order to an engine. Answered with [`FleetEvent::OrderAnswered`].
+    /// Send an order to an engine. The result arrives as [`FleetEvent::OrderAnswered`].
     SendOrder {
         /// Name of the engine's endpoint.
         endpoint: String,
@@ -253,17 +254,17 @@
         /// What the engine is to load, unload or change.
         order: EngineOrder,
     },
-    /// List the cache tags that an engine holds. Answered with
+    /// List the cache tags that an engine holds. The result arrives as
     /// [`FleetEvent::CacheTagsListed`].
     ListCacheTags {
         /// Name of the engine's endpoint.
         endpoint: String,
     },
-    /// Write the own budget record. Answered with [`FleetEvent::BudgetWritten`].
+    /// Write the own budget record. The result arrives as [`FleetEvent::BudgetWritten`].
     WriteBudget(BudgetRecord),
-    /// Write the home weights if the record still has this version, then read them. Answered
-    /// with [`FleetEvent::HomeWeightsWritten`], unless the outcome is unknown, and
-    /// [`FleetEvent::HomeWeightsRead`].
+    /// Write the home weights if the record still has this version, then read them. The
+    /// results arrive as [`FleetEvent::HomeWeightsWritten`], unless the outcome is unknown,
+    /// and as [`FleetEvent::HomeWeightsRead`].
     WriteHomeWeights {
         /// The record to write.
         record: HomeRecord,
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -23,7 +23,7 @@
 /// Time between a failed write of the budget record and the next attempt.
 const BUDGET_WRITE_RETRY_MS: u64 = 500;
 
-/// After this time without an answer the store counts as unreachable. It is longer than the
+/// After this time without a response the store counts as unreachable. It is longer than the
 /// interval of 2 s at which the store is polled.
 const STORE_OUTAGE_AFTER_MS: u64 = 3_000;
 
@@ -210,7 +210,7 @@
                 endpoint,
                 fencing,
                 answer,
-            } => self.order_answered(now_ms, &endpoint, fencing, answer),
+            } => self.order_response_received(now_ms, &endpoint, fencing, answer),
             FleetEvent::PeerMessage { from, message } => {
                 self.peer_message(now_ms, from, message);
             }
@@ -279,7 +279,7 @@
     ///
     /// A live peer without a recorded share is not enough: in a new fleet no instance may
     /// have a share yet, and if the store becomes unreachable then, none gets one. It is
-    /// enough for a process that starts while the store does not answer, because other
+    /// enough for a process that starts while the store does not respond, because other
     /// processes of its fleet ran before the outage.
     pub fn is_ready(&mut self, now_ms: u64) -> bool {
         let has_customers = match &self.configuration {
@@ -294,7 +294,7 @@
     }
 
     /// Whether this process has not read the registrations since its start and the store
-    /// has not answered for [`STORE_OUTAGE_AFTER_MS`].
+    /// has not responded for [`STORE_OUTAGE_AFTER_MS`].
     fn started_in_outage(&self, now_ms: u64) -> bool {
         let contact_age_ms = self.contact_age_ms(now_ms);
         !self.membership.registrations().were_read()
@@ -312,7 +312,7 @@
     }
 
     /// Age of the store contact behind the configuration, in milliseconds. It keeps growing
-    /// while the thread that reports it is blocked by a store that does not answer.
+    /// while the thread that reports it is blocked by a store that does not respond.
     /// Otherwise two such instances would report a recent contact to each other without
     /// end.
     pub(crate) fn contact_age_ms(&self, now_ms: u64) -> Option<u64> {
--- a/crates/fleet/src/keyed_handover.rs
+++ b/crates/fleet/src/keyed_handover.rs
@@ -2,7 +2,7 @@
 //! program.
 //!
 //! It begins when the stop is announced, not after the last call: a model call may run for
-//! minutes, and until the keys have arrived the successors answer `unknown` to a repeated
+//! minutes, and until the keys have arrived the successors respond `unknown` to a repeated
 //! key.
 
 use std::collections::VecDeque;
@@ -14,18 +14,18 @@
 use crate::fleet::FleetState;
 
 /// Time after which a part is sent again if it was not confirmed.
-const RESEND_MS: u64 = 2_000;
+const KEYED_RESEND_MS: u64 = 2_000;
 
 /// Number of attempts to send a part, after which all parts of its receiver are skipped so
-/// that it cannot delay the stop. The receiver then answers `unknown`, as after a crash.
+/// that it cannot delay the stop. The receiver then responds `unknown`, as after a crash.
 const MAX_ATTEMPTS: u32 = 5;
 
-/// The same limit for a receiver that does not answer heartbeats either. It allows one
+/// The same limit for a receiver that does not reply to heartbeats either. It allows one
 /// retry, because a busy receiver may miss the heartbeats of 2 s.
 const MAX_ATTEMPTS_IF_SILENT: u32 = 2;
 
-/// Largest number of keys in one message. The JSON of a key takes about 70 bytes.
-const KEYS_PER_PART: usize = 5_000;
+/// Maximum number of keys in one message. The JSON of a key takes about 70 bytes.
+const MAX_KEYS_PER_PART: usize = 5_000;
 
 /// Progress of the handover of idempotency keys.
 #[derive(Debug, Default)]
@@ -81,7 +81,7 @@
 
     fn start_keyed_handover(&mut self, now_ms: u64) {
         let successors = self.registered_peers();
-        let exported = self.keyed.export(now_ms, successors, KEYS_PER_PART);
+        let exported = self.keyed.export(now_ms, successors, MAX_KEYS_PER_PART);
         match exported {
             Some(parts) => {
                 self.stop.keyed = KeyedHandoverStage::Sending(PendingParts {
@@ -122,7 +122,7 @@
         };
         let is_sent_recently = sending
             .last_sent_ms
-            .is_some_and(|ms| now_ms < ms + RESEND_MS);
+            .is_some_and(|ms| now_ms < ms + KEYED_RESEND_MS);
         if is_sent_recently {
             return;
         }
--- a/crates/fleet/src/model_reconciler.rs
+++ b/crates/fleet/src/model_reconciler.rs
@@ -77,16 +77,16 @@
         }
     }
 
-    /// Handles the answer to an order, or the failure of its request.
-    pub(crate) fn order_answered(
+    /// Handles the response to an order, or the failure of its request.
+    pub(crate) fn order_response_received(
         &mut self,
         now_ms: u64,
         endpoint: &str,
         fencing: u64,
-        answer: OrderAnswer,
+        response: OrderAnswer,
     ) {
         if let Some(state) = self.model_reconciler.engines.get_mut(endpoint) {
-            state.record_answer(now_ms, fencing, answer);
+            state.record_response(now_ms, fencing, response);
         }
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Sends the next order to an engine that this instance is responsible for, within the
-    /// limit on loads in its zone. `zones` caches the loads of each zone during one
+    /// maximum of loads in its zone. `zones` caches the loads of each zone during one
     /// comparison.
     fn reconcile_engine(
         &mut self,
@@ -184,8 +184,8 @@
         if responsible_for(name, candidates) != Some(&self.settings.own.instance) {
             return;
         }
-        let may_load = loads.own_loading < loads.own_limit
-            && loads.all_loading < self.zone_load_limit();
+        let may_load = loads.own_loading < loads.max_own_loading
+            && loads.all_loading < self.max_zone_loads();
         let Some(order) = self.first_permitted_order(now_ms, name, &needed, may_load)
         else {
             return;
@@ -196,7 +196,7 @@
     }
 
     /// The first needed order that may be sent now: its retry delay has passed, and a load
-    /// is within the limit or an unload affects no call of this instance.
+    /// is within the maximum or an unload affects no call of this instance.
     fn first_permitted_order(
         &self,
         now_ms: u64,
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -1,4 +1,4 @@
-//! Messages to and from peers, and the registrations that tell which peers exist.
+//! Messages to and from peers, and the registrations that list the peers.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use crate::fleet::FleetState;
 
 impl FleetState {
-    /// Applies a message of the peer `from` and sends the answer, if the message has one.
+    /// Applies a message of the peer `from` and sends the reply, if the message has one.
     pub(crate) fn peer_message(
         &mut self,
         now_ms: u64,
@@ -25,14 +25,14 @@
                 self.send(from, PeerMessage::CacheTagsOwned(owned));
             }
             PeerMessage::Handover(handover) => {
-                self.take_handover(now_ms, *handover);
+                self.import_handover(now_ms, *handover);
                 self.send(from, PeerMessage::HandoverTaken);
             }
             PeerMessage::HandoverTaken => self.handover_part_confirmed(now_ms),
             PeerMessage::Heartbeat(heartbeat) => {
                 self.membership.record_heartbeat(now_ms, &heartbeat);
-                let answer = self.heartbeat();
-                self.send(from, PeerMessage::HeartbeatAnswer(answer));
+                let reply = self.heartbeat();
+                self.send(from, PeerMessage::HeartbeatAnswer(reply));
             }
             PeerMessage::HeartbeatAnswer(heartbeat) => {
                 self.membership.record_heartbeat(now_ms, &heartbeat);
@@ -93,9 +93,9 @@
         }
     }
 
-    /// Sends a heartbeat to peers that were discovered without the store and have not been
-    /// heard of. They learn of this process from it, and their answers carry their
-    /// incarnations.
+    /// Sends a heartbeat to peers that were discovered without the store and whose
+    /// incarnation is not known yet. They learn of this process from the heartbeat, and their
+    /// replies carry their incarnations.
     pub(crate) fn send_first_heartbeats(&mut self, names: Vec<String>) {
         for name in names {
             if self.membership.incarnation(&name).is_none() {
--- a/crates/fleet/src/quota_admission.rs
+++ b/crates/fleet/src/quota_admission.rs
@@ -8,7 +8,7 @@
 use crate::event::{FleetEffect, PeerMessage};
 use crate::fleet::FleetState;
 
-/// Time after which a caller may retry if the bucket cannot tell when it has a token again.
+/// Time after which a caller may retry if it is not known when the bucket has a token again.
 const RETRY_AFTER_MS: u64 = 1_000;
 
 impl QuotaAdmission for FleetState {
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -24,7 +24,7 @@
     pub loan_term_ms: u64,
     /// How long the home share may be used after the last renewal of the registration.
     pub home_term_ms: u64,
-    /// Longest time between the decision to send a call and its first byte on the
+    /// Maximum time between the decision to send a call and its first byte on the
     /// connection.
     pub dispatch_deadline_ms: u64,
     /// Time for which the registration of a program's owner must be absent before another
@@ -38,13 +38,13 @@
     /// How long the registration of a process without a successor must be absent before the
     /// cache of its programs is released.
     pub cache_orphan_ms: u64,
-    /// Limit on concurrent model loads at all engines of an availability zone. It is
+    /// Maximum number of concurrent model loads at all engines of an availability zone. It is
     /// divided among the instances that are responsible for these engines. 0 counts as 1.
     pub zone_loads: usize,
     /// Age from which an engine's report of a load in progress is ignored for
     /// [`FleetSettings::zone_loads`].
     pub model_report_valid_ms: u64,
-    /// Largest age of the last read of the registrations with which a call that has an
+    /// Maximum age of the last read of the registrations with which a call that has an
     /// idempotency key is admitted.
     pub registration_freshness_ms: u64,
 }
--- a/crates/fleet/src/stop.rs
+++ b/crates/fleet/src/stop.rs
@@ -16,8 +16,8 @@
 /// Time after which a part of the handover is sent again if it was not confirmed.
 const HANDOVER_RESEND_MS: u64 = 2_000;
 
-/// Largest number of programs in one message.
-const PROGRAMS_PER_PART: usize = 500;
+/// Maximum number of programs in one message.
+const MAX_PROGRAMS_PER_PART: usize = 500;
 
 /// Progress of the handover of programs.
 #[derive(Debug, Default)]
@@ -144,7 +144,7 @@
                 self.announce_takeover(&of, record);
                 HandoverStage::Sending {
                     to: record.successor.instance.clone(),
-                    parts: handover.into_parts(PROGRAMS_PER_PART).into(),
+                    parts: handover.into_parts(MAX_PROGRAMS_PER_PART).into(),
                     last_sent_ms: 0,
                 }
             }
--- a/crates/fleet/src/takeover.rs
+++ b/crates/fleet/src/takeover.rs
@@ -107,7 +107,7 @@
 
     /// Imports one part of the programs of a stopping process that has named this one as
     /// its successor.
-    pub(crate) fn take_handover(&mut self, now_ms: u64, handover: Handover) {
+    pub(crate) fn import_handover(&mut self, now_ms: u64, handover: Handover) {
         let record = TakeoverRecord {
             successor: self.settings.own.clone(),
             is_planned: true,
@@ -117,8 +117,8 @@
         self.programs.import(now_ms, handover);
     }
 
-    /// Refuses the calls that wait for the successor of `of`, because the store gave no
-    /// answer.
+    /// Refuses the calls that wait for the successor of `of`, because the store did not
+    /// respond.
     pub(crate) fn takeover_unconfirmed(&mut self, of: &Incarnation) {
         for call in self.awaiting_takeover.remove(of).unwrap_or_default() {
             let request_id = call.arrived.request_id;
