--- a/crates/programs/src/account.rs
+++ b/crates/programs/src/account.rs
@@ -1,9 +1,9 @@
 //! The token budget of a root program, shared with its sub-agents.
 //!
-//! A call reserves the most tokens that it may use before it runs, and settles what it
-//! used when it ends. The owner may spend the first tranche of the budget freely. Beyond
-//! it, a larger grant must be recorded in the store first, so that a successor knows how
-//! much may have been spent if the owner crashes.
+//! A call reserves the maximum number of tokens that it may use before it runs, and
+//! settles what it used when it ends. The owner may spend the first tranche of the budget
+//! freely. Beyond it, a larger grant must be recorded in the store first, so that a
+//! successor knows how much may have been spent if the owner crashes.
 
 /// The token accounting of one root program.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
@@ -14,7 +14,7 @@
     pub spent_tokens: u64,
     /// Tokens reserved by running calls.
     pub reserved_tokens: u64,
-    /// Limit of `spent_tokens + reserved_tokens` for new reservations. A limit above the
+    /// Maximum of `spent_tokens + reserved_tokens` for new reservations. A maximum above the
     /// first tranche is recorded in the store before it takes effect.
     pub granted_tokens: u64,
     /// The grant that waiting calls need. At most the budget.
@@ -31,7 +31,7 @@
 pub enum Reservation {
     /// The tokens are reserved.
     Reserved {
-        /// Largest number of tokens that the call may generate.
+        /// Maximum number of tokens that the call may generate.
         max_tokens: u64,
         /// Reserved tokens, to be passed to [`Account::settle`] when the call ends.
         reserved_tokens: u64,
@@ -85,8 +85,8 @@
                 reserved_tokens: 0,
             };
         }
-        let room_tokens = self.remaining_tokens().saturating_sub(prompt_tokens);
-        let max_tokens = max_tokens.max(1).min(room_tokens);
+        let available_tokens = self.remaining_tokens().saturating_sub(prompt_tokens);
+        let max_tokens = max_tokens.max(1).min(available_tokens);
         if max_tokens == 0 {
             return Reservation::Exhausted;
         }
--- a/crates/programs/src/admission.rs
+++ b/crates/programs/src/admission.rs
@@ -15,14 +15,14 @@
     pub repeatable: bool,
     /// Value of the `Jayreel-Turn` header, if present.
     pub turn: Option<u32>,
-    /// Value of the `Jayreel-Epoch` header, if present: the incarnation that the caller
-    /// believes to hold the program's calls.
+    /// Value of the `Jayreel-Epoch` header, if present: the incarnation that, as far as the
+    /// caller knows, serves the calls of the program.
     pub epoch: Option<Incarnation>,
     /// Value of the `Idempotency-Key` header, if present.
     pub idempotency_key: Option<String>,
     /// Upper bound of the number of prompt tokens. 0 for plain services.
     pub prompt_bound_tokens: u64,
-    /// Largest number of tokens to generate, already limited by the profile. 0 for plain
+    /// Maximum number of tokens to generate, already limited by the profile. 0 for plain
     /// services.
     pub max_tokens: u64,
 }
@@ -32,17 +32,17 @@
 pub enum Admission {
     /// The call may run now.
     Run {
-        /// Largest number of tokens to generate: the requested number, or less if the
+        /// Maximum number of tokens to generate: the requested number, or less if the
         /// budget leaves less.
         max_tokens: u64,
         /// The turn of the call within its program.
         turn: u32,
     },
     /// An earlier call of the program has not ended. A later [`ProgramEffects`] holds the
-    /// answer.
+    /// decision.
     Wait,
     /// The program's recorded budget grant is too small. A later [`ProgramEffects`] holds
-    /// the answer, once the record of
+    /// the decision, once the record of
     /// [`Programs::next_budget_record`](crate::Programs::next_budget_record) was written
     /// or its write failed.
     NeedsGrant,
@@ -50,13 +50,13 @@
     Refuse(Refusal),
 }
 
-/// The answer to a call that was told [`Admission::Wait`] or [`Admission::NeedsGrant`]
-/// before.
+/// The later decision about a call whose admission was [`Admission::Wait`] or
+/// [`Admission::NeedsGrant`] before.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DeferredAdmission {
-    /// The call that this answers.
+    /// The call that the decision is about.
     pub request_id: RequestId,
-    /// Never [`Admission::Wait`]. A call that was waiting may be told
+    /// Never [`Admission::Wait`]. A call that was waiting may get
     /// [`Admission::NeedsGrant`].
     pub admission: Admission,
 }
@@ -83,12 +83,12 @@
     pub reason: EndReason,
 }
 
-/// Consequences of an operation that the caller must carry out: answers to other calls
-/// and releases of caches.
+/// Consequences of an operation that the caller must carry out: decisions about other
+/// calls and releases of caches.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[must_use]
 pub struct ProgramEffects {
-    /// Answers to calls that were waiting.
+    /// Decisions about calls that were waiting.
     pub resolved: Vec<DeferredAdmission>,
     /// Programs whose cache is to be released: those that ended or used up their budget.
     pub ended: Vec<EndedProgram>,
--- a/crates/programs/src/calls.rs
+++ b/crates/programs/src/calls.rs
@@ -12,7 +12,7 @@
 use crate::programs::{Programs, ended, ended_refusal};
 use crate::token::CacheTag;
 
-/// Largest number of waiting calls of one program. Further calls are refused.
+/// Maximum number of waiting calls of one program. Further calls are refused.
 pub const MAX_WAITING_CALLS: usize = 64;
 
 /// Retry delay suggested to a caller whose call does not fit into the budget while other
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Starts the first waiting call that is not refused, and adds the answers to
+    /// Starts the first waiting call that is not refused, and adds the decisions to
     /// `effects`.
     pub(crate) fn start_next(&mut self, id: ProgramId, effects: &mut ProgramEffects) {
         while let Some((request_id, admission)) = self.try_start(id) {
@@ -130,9 +130,8 @@
         }
     }
 
-    /// Tries to start the first waiting call. `None` if there is nothing new to answer:
-    /// no call waits, another one runs, or the first was already told that it needs a
-    /// grant.
+    /// Tries to start the first waiting call. `None` if there is no new decision: no
+    /// call waits, another one runs, or the first was already reported to need a grant.
     fn try_start(&mut self, id: ProgramId) -> Option<(RequestId, Admission)> {
         let program = self.programs.get_mut(&id)?;
         if program.running.is_some() {
@@ -285,7 +284,7 @@
 }
 
 /// Reserves the call's tokens. Checks the turn again, because an earlier call that did
-/// not run may have given its turn back since this call was queued.
+/// not run may have released its turn since this call was queued.
 fn reserve(
     program: &Program,
     account: &mut Account,
--- a/crates/programs/src/grants.rs
+++ b/crates/programs/src/grants.rs
@@ -21,16 +21,16 @@
 use crate::programs::{Programs, ended_refusal};
 use crate::token::{CacheTag, ProgramToken};
 
-/// Largest encoded size of a [`BudgetRecord`], in bytes. The store accepts values up to 1
+/// Maximum encoded size of a [`BudgetRecord`], in bytes. The store accepts values up to 1
 /// MB.
 pub const MAX_RECORD_BYTES: usize = 1_000_000;
 
 /// Upper bound of the encoded size of a grant: brackets, commas and two numbers of up to
 /// 20 digits.
-const ENTRY_BYTES: usize = 44;
+const MAX_ENTRY_BYTES: usize = 44;
 
 /// Quotes, colon, brackets and comma around the grants of one owner in `adopted`.
-const OWNER_BYTES: usize = 8;
+const OWNER_OVERHEAD_BYTES: usize = 8;
 
 /// The store key of an incarnation's [`BudgetRecord`].
 pub fn budget_key(incarnation: &Incarnation) -> String {
@@ -67,10 +67,10 @@
     /// bytes.
     pub(crate) fn entry_bytes(own: &Incarnation, root: &CacheTag) -> usize {
         if root.owner == *own {
-            return ENTRY_BYTES;
+            return MAX_ENTRY_BYTES;
         }
         // JSON escapes a character of a name with up to 6 bytes.
-        ENTRY_BYTES + OWNER_BYTES + 6 * root.owner.to_string().len()
+        MAX_ENTRY_BYTES + OWNER_OVERHEAD_BYTES + 6 * root.owner.to_string().len()
     }
 
     /// Encodes the record for the store. At most [`MAX_RECORD_BYTES`] long.
@@ -131,8 +131,8 @@
     }
 
     /// Applies the grants of a record that is known to be stored, either from the
-    /// response to the write or by reading it back. Returns the answers to calls that
-    /// waited for it.
+    /// response to the write or by reading it back. Returns the decisions about calls
+    /// that waited for it.
     pub fn budget_record_written(&mut self, record: &BudgetRecord) -> ProgramEffects {
         self.grant_write_pending = false;
         let own = self.config.own.clone();
--- a/crates/programs/src/idempotency.rs
+++ b/crates/programs/src/idempotency.rs
@@ -7,7 +7,7 @@
 use jayreel_model::{Ran, Refusal, RefusalReason};
 use serde::{Deserialize, Serialize};
 
-/// Largest accepted length of an idempotency key, in bytes.
+/// Maximum accepted length of an idempotency key, in bytes.
 pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
 
 /// Hash of a customer's idempotency key. Stored instead of the key, so that long keys
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The answer to another call with the same key.
+    /// The refusal of another call with the same key.
     pub fn refusal(self) -> Refusal {
         let (ran, message) = match self {
             KeyState::Running => (Ran::Unknown, "a call with this idempotency key runs"),
--- a/crates/programs/src/keyed.rs
+++ b/crates/programs/src/keyed.rs
@@ -4,7 +4,7 @@
 //! registered instances. For a short time two instances may consider themselves
 //! responsible, because each uses a view of the registrations that is up to
 //! `registration_freshness_ms` old and may dispatch a call up to `dispatch_deadline_ms`
-//! after its decision. An instance therefore answers `unknown` until it has been
+//! after its decision. An instance therefore responds `unknown` until it has been
 //! responsible for longer than the late repeat window plus these two times, or until the
 //! process that was responsible before it has handed over its keys
 //! ([`crate::keyed_handover`]).
@@ -17,7 +17,7 @@
 pub use crate::keyed_views::responsible;
 use crate::keyed_views::{InheritedClaim, KeyedLimits, RegistrationView, ViewHistory};
 
-/// Largest number of stored keys. At the target size one instance takes 39 requests/s,
+/// Maximum number of stored keys. At the target size one instance gets 39 requests/s,
 /// which makes 35,100 keys in a window of 900 s.
 pub const MAX_KEYS: usize = 200_000;
 
@@ -31,9 +31,9 @@
     pub own: Incarnation,
     /// The late repeat window: for how long a key is stored after its call ended.
     pub late_repeat_window_ms: u64,
-    /// Largest age at which a view of the registrations may be used.
+    /// Maximum age at which a view of the registrations may be used.
     pub registration_freshness_ms: u64,
-    /// Longest time between the decision to send a call and its dispatch.
+    /// Maximum time between the decision to send a call and its dispatch.
     pub dispatch_deadline_ms: u64,
 }
 
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Tells that no process of the fleet ran before this one, so that no other can have
+    /// Records that no process of the fleet ran before this one, so that no other can have
     /// run a call. Has no effect once the registrations were read.
     pub fn assume_founder(&mut self) {
         self.is_founder = self.history.views.is_empty();
--- a/crates/programs/src/keyed_handover.rs
+++ b/crates/programs/src/keyed_handover.rs
@@ -17,9 +17,9 @@
 use crate::keyed::{KeyedCalls, MAX_KEYS};
 use crate::keyed_views::{InheritedClaim, KeyedLimits, ViewHistory, responsible};
 
-/// Largest number of view entries in a claim. Keeps a claim below 2 MB, a quarter of the
-/// largest message. In larger fleets the keys are sent with a claim that has no views and
-/// so covers no key.
+/// Maximum number of view entries in a claim. Keeps a claim below 2 MB, a quarter of the
+/// maximum message size. In larger fleets the keys are sent with a claim that has no views
+/// and so covers no key.
 const MAX_VIEW_ENTRIES: usize = 20_000;
 
 /// What a stopped process knew about the responsibility for keys.
--- a/crates/programs/src/keyed_views.rs
+++ b/crates/programs/src/keyed_views.rs
@@ -15,7 +15,7 @@
     /// A process that was responsible for longer than this knows about all runs within
     /// the late repeat window.
     pub(crate) coverage_ms: u64,
-    /// Largest age of a view by which a call may be admitted.
+    /// Maximum age of a view by which a call may be admitted.
     pub(crate) freshness_ms: u64,
 }
 
--- a/crates/programs/src/lib.rs
+++ b/crates/programs/src/lib.rs
@@ -21,7 +21,7 @@
 //!    again.
 //! 3. [`Programs::resolve`] finds the program and [`Programs::admit`] checks the call.
 //! 4. [`Programs::finish`] or [`Programs::fail`] ends the call. Both return
-//!    [`ProgramEffects`] with the answers for other calls that were waiting.
+//!    [`ProgramEffects`] with the decisions about other calls that were waiting.
 //!    [`Programs::fail`] also withdraws a call that is still waiting.
 //! 5. At intervals, [`Programs::next_budget_record`] returns a record to write to the
 //!    store as described in [`grants`], and [`Programs::expire`] ends idle programs.
--- a/crates/programs/src/open.rs
+++ b/crates/programs/src/open.rs
@@ -7,7 +7,8 @@
 use crate::programs::{Programs, ended_refusal};
 use crate::token::{CacheTag, ProgramToken};
 
-/// Most open programs that may draw on one budget: the root program and its sub-agents.
+/// Maximum number of open programs that may draw on one budget: the root program and its
+/// sub-agents.
 pub const MAX_PROGRAMS_PER_ACCOUNT: usize = 1_000;
 
 /// The parameters of [`Programs::open`].
@@ -71,18 +72,18 @@
     }
 
     fn root_token(&self, request: &OpenRequest<'_>) -> Result<ProgramToken, Refusal> {
-        let limit_tokens = request.profile.budget_tokens;
-        let budget_tokens = request.budget_tokens.unwrap_or(limit_tokens);
+        let max_tokens = request.profile.budget_tokens;
+        let budget_tokens = request.budget_tokens.unwrap_or(max_tokens);
         if budget_tokens == 0 {
             return Err(Refusal::not_run(
                 RefusalReason::InvalidRequest,
                 "the budget must be at least one token",
             ));
         }
-        if budget_tokens > limit_tokens {
+        if budget_tokens > max_tokens {
             return Err(Refusal::not_run(
                 RefusalReason::NotAllowed,
-                format!("the profile allows a budget of {limit_tokens} tokens"),
+                format!("the profile allows a budget of {max_tokens} tokens"),
             ));
         }
         let percent = self.config.first_tranche_percent;
--- a/crates/programs/src/ownership.rs
+++ b/crates/programs/src/ownership.rs
@@ -89,12 +89,12 @@
 /// The liveness of an incarnation according to its heartbeats.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum OwnerLiveness {
-    /// Answers heartbeats.
+    /// Replies to heartbeats.
     Alive,
-    /// Does not answer heartbeats, or another incarnation answers under its instance
+    /// Does not reply to heartbeats, or another incarnation replies under its instance
     /// name.
     Dead,
-    /// Answers heartbeats and has announced a planned stop.
+    /// Replies to heartbeats and has announced a planned stop.
     Leaving,
     /// Missed heartbeats recently, but not for long enough to count as dead.
     Suspect,
--- a/crates/programs/src/token.rs
+++ b/crates/programs/src/token.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use subtle::ConstantTimeEq;
 
-/// Largest accepted length of a signed token, in bytes. Longer text is refused before it
+/// Maximum accepted length of a signed token, in bytes. Longer text is refused before it
 /// is decoded.
 pub const MAX_TOKEN_BYTES: usize = 2_048;
 
@@ -131,8 +131,8 @@
 }
 
 /// Identifies a program's cache at the engines. It names the owner, so that the instance
-/// that looks after an engine's caches knows which instance to ask whether the program is
-/// still live. Never reused for another program.
+/// that is responsible for an engine's caches knows which instance to ask whether the
+/// program is still live. Never reused for another program.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct CacheTag {
