--- a/crates/core/src/admin/confirm.rs
+++ b/crates/core/src/admin/confirm.rs
@@ -14,7 +14,7 @@
 use crate::shell::{RunnerEvent, StatusReport};
 
 /// Maximum time that the response to a change is delayed until all instances confirm it.
-const CONFIRM_LIMIT: Duration = Duration::from_secs(5);
+const CONFIRM_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Time between two checks of the confirmations.
 const CONFIRM_POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -25,7 +25,7 @@
 const REPEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Maximum time for the reducer to report its state.
-const STATUS_LIMIT: Duration = Duration::from_secs(2);
+const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// HTTP status for a change that was accepted but that some instances have not confirmed.
 pub(super) const STATUS_UNCONFIRMED: u16 = 202;
@@ -71,13 +71,13 @@
 
     /// Waits until all known instances have the configuration at `revision`, and repeats a
     /// withdrawal to those that do not. Returns the names of those that still do not after
-    /// [`CONFIRM_LIMIT`], and for how many seconds they may continue without the change.
+    /// [`CONFIRM_TIMEOUT`], and for how many seconds they may continue without the change.
     pub(super) fn unconfirmed(
         &self,
         revision: u64,
         withdrawn: Option<KeyHash>,
     ) -> (Vec<String>, Option<u64>) {
-        let deadline = Instant::now() + CONFIRM_LIMIT;
+        let deadline = Instant::now() + CONFIRM_TIMEOUT;
         let mut last_repeat = Instant::now();
         loop {
             let behind = self.instances_behind(revision);
@@ -118,11 +118,11 @@
         own.into_iter().chain(peers).collect()
     }
 
-    /// The state of the reducer, or `None` if it does not respond within [`STATUS_LIMIT`].
+    /// The state of the reducer, or `None` if it does not respond within [`STATUS_TIMEOUT`].
     pub(super) fn status(&self) -> Option<StatusReport> {
         let (reply, response) = bounded(1);
         self.events.send(RunnerEvent::Status(reply)).ok()?;
-        response.recv_timeout(STATUS_LIMIT).ok()
+        response.recv_timeout(STATUS_TIMEOUT).ok()
     }
 
     /// Withdraws a key here and at all peers, without waiting for the store.
--- a/crates/core/src/instance/mod.rs
+++ b/crates/core/src/instance/mod.rs
@@ -30,11 +30,11 @@
 /// How long a planned stop waits, after the last call, for the store and a successor to take
 /// over what the instance holds. Loans and home shares that are not returned by then
 /// expire at the end of their terms.
-const RELEASE_LIMIT: Duration = Duration::from_secs(15);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// How long a planned stop waits for requests to the administration API that are in
 /// progress.
-const ADMIN_STOP_LIMIT: Duration = Duration::from_secs(10);
+const ADMIN_STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A running instance. Its threads go on until [`Instance::close`] is called.
 pub(crate) struct Instance {
@@ -171,7 +171,7 @@
     /// Hands the programs over to a successor and returns the loans and the home weight.
     fn release_resources(&self) {
         self.send(Input::Fleet(FleetEvent::ServingEnded));
-        let deadline = Instant::now() + RELEASE_LIMIT;
+        let deadline = Instant::now() + RELEASE_TIMEOUT;
         while !self.status().is_some_and(|status| status.is_stopped) {
             if Instant::now() >= deadline {
                 log::warn!("event=release_incomplete");
@@ -185,7 +185,7 @@
     /// runner before the store writer, to which it sends effects.
     fn end_threads(self) {
         self.callers.close();
-        self.admin.close(Some(ADMIN_STOP_LIMIT));
+        self.admin.close(Some(ADMIN_STOP_TIMEOUT));
         drop(self.stop_engines);
         self.seed_poller.close();
         let _ = self.events.send(RunnerEvent::Stop);
--- a/crates/core/src/operator.rs
+++ b/crates/core/src/operator.rs
@@ -17,7 +17,7 @@
 /// the version was not current.
 const EXIT_CONFLICT: u8 = 4;
 /// Timeout of a request. Longer than the 5 s for which the instance waits for confirmations.
-const TIMEOUT_S: u64 = 15;
+const REQUEST_TIMEOUT_S: u64 = 15;
 
 /// Runs the operator command `name` and prints the response. `matches` has the arguments of
 /// the command, `global` those of `jayreel`.
@@ -122,7 +122,7 @@
     fn new(global: &ArgMatches) -> eyre::Result<Client> {
         let address: &String = global.get_one("admin").expect("--admin has a default");
         let config = ureq::Agent::config_builder()
-            .timeout_global(Some(Duration::from_secs(TIMEOUT_S)))
+            .timeout_global(Some(Duration::from_secs(REQUEST_TIMEOUT_S)))
             .http_status_as_error(false)
             .build();
         Ok(Client {
--- a/crates/core/src/shell/chat.rs
+++ b/crates/core/src/shell/chat.rs
@@ -2,9 +2,9 @@
 
 use serde_json::{Map, Value, json};
 
-/// Sets the limit of generated tokens (if there is one) and the priority in the caller's
-/// body. For a stream, also requests a final event with the token usage, by which program
-/// budgets are charged. Returns the body unchanged if it is not a JSON object.
+/// Sets the maximum number of generated tokens (if there is one) and the priority in the
+/// caller's body. For a stream, also requests a final event with the token usage, by which
+/// program budgets are charged. Returns the body unchanged if it is not a JSON object.
 pub(crate) fn engine_body(
     body: &[u8],
     stream: bool,
@@ -33,7 +33,7 @@
         .is_ok_and(|value| value["stream_options"]["include_usage"] == json!(true))
 }
 
-/// Writes the limit under the newer name of the field if the caller used that one.
+/// Writes the maximum under the newer name of the field if the caller used that one.
 fn set_max_tokens(fields: &mut Map<String, Value>, max_tokens: u64) {
     let field = match fields.contains_key("max_completion_tokens") {
         true => "max_completion_tokens",
--- a/crates/core/src/shell/runner.rs
+++ b/crates/core/src/shell/runner.rs
@@ -32,7 +32,7 @@
 /// Time after the first configuration at which an instance becomes ready even if it has no
 /// share of the customers' rates, because the store is down. Without a share it can still
 /// serve open routes and forward calls.
-const RATE_SHARE_WAIT_LIMIT_MS: u64 = 15_000;
+const MAX_RATE_SHARE_WAIT_MS: u64 = 15_000;
 
 /// An event for the runner thread, sent by the other threads of the instance.
 pub(crate) enum RunnerEvent {
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Sets `ready` once the reducer is ready, or after [`RATE_SHARE_WAIT_LIMIT_MS`]. Never
+    /// Sets `ready` once the reducer is ready, or after [`MAX_RATE_SHARE_WAIT_MS`]. Never
     /// clears it: [`Instance::close`](crate::instance::Instance::close) does that when a
     /// planned stop begins.
     fn update_ready(&mut self, now_ms: u64) {
@@ -186,14 +186,15 @@
         let waited_ms = self
             .configured_at_ms
             .map(|at_ms| now_ms.saturating_sub(at_ms));
-        let is_overdue = waited_ms.is_some_and(|ms| ms >= RATE_SHARE_WAIT_LIMIT_MS);
+        let is_overdue = waited_ms.is_some_and(|ms| ms >= MAX_RATE_SHARE_WAIT_MS);
         if is_overdue || self.reducer.is_ready(now_ms) {
             log::info!("event=ready");
             self.ready.store(true, Ordering::SeqCst);
         }
     }
 
-    /// Updates the runner's own state and the metrics for an event that the reducer gets.
+    /// Updates the runner's own state and the metrics for an event that the reducer handles
+    /// next.
     fn observe(&mut self, event: &Event) {
         match event {
             Event::ConfigurationChanged(configuration) => {
--- a/crates/core/src/store_link/reader.rs
+++ b/crates/core/src/store_link/reader.rs
@@ -31,14 +31,14 @@
 /// If the registration was not renewed for this long, the own takeover record is read when it
 /// is renewed again. Another process can take over at the earliest 5 s after the lease has
 /// expired, and no lease is shorter than 1 s, so a shorter gap cannot hide a takeover.
-const SUCCESSOR_CHECK_MS: u64 = 5_000;
+const SUCCESSOR_CHECK_GAP_MS: u64 = 5_000;
 
 /// The reading thread.
 pub(super) struct StoreReader {
     pub(super) context: Context,
     pub(super) registration: Arc<Registration>,
     pub(super) feed: Arc<ConfigurationFeed>,
-    /// Gets the addresses of the registered peers.
+    /// Receives the addresses of the registered peers.
     pub(super) peers: PeerSender,
     pub(super) own: Incarnation,
     pub(super) stopped: Arc<AtomicBool>,
@@ -103,7 +103,7 @@
         let gap_ms = self
             .last_renewal_ms
             .map_or(0, |last| sent_at_ms.saturating_sub(last));
-        if gap_ms >= SUCCESSOR_CHECK_MS {
+        if gap_ms >= SUCCESSOR_CHECK_GAP_MS {
             report_own_successor(&self.context, &self.own);
         }
     }
--- a/crates/core/src/store_link/writer.rs
+++ b/crates/core/src/store_link/writer.rs
@@ -12,9 +12,9 @@
 use crate::store_link::Context;
 use crate::store_link::reader::read_home_weights;
 
-/// How often the creation of a takeover record is attempted when the store's response is
-/// lost or the transaction is rejected.
-const CLAIM_ATTEMPTS: u32 = 3;
+/// Maximum number of attempts to create a takeover record when the store's response is lost
+/// or the transaction is rejected.
+const MAX_CLAIM_ATTEMPTS: u32 = 3;
 
 /// Performs effects until all senders are dropped.
 pub(super) fn run(context: &Context, own: &Incarnation, effects: &Receiver<FleetEffect>) {
@@ -53,7 +53,7 @@
     of: Incarnation,
     record: TakeoverRecord,
 ) {
-    for _ in 0..CLAIM_ATTEMPTS {
+    for _ in 0..MAX_CLAIM_ATTEMPTS {
         match takeover_record::<TakeoverRecord>(&context.store, &of).read() {
             Ok(Some(found)) => return send_takeover(context, of, found.value),
             Ok(None) => {}
