--- a/crates/core/src/shell/runner.rs
+++ b/crates/core/src/shell/runner.rs
@@ -32,13 +32,13 @@
 /// Time after the first configuration at which an instance becomes ready even if it has no
 /// share of the customers' rates, because the store is down. Without a share it can still
 /// serve open routes and forward calls.
-const RATE_SHARE_WAIT_LIMIT_MS: u64 = 15_000;
+const MAX_RATE_SHARE_WAIT_MS: u64 = 15_000;
 
 /// An event for the runner thread, sent by the other threads of the instance.
 pub(crate) enum RunnerEvent {
     /// An input that is passed to the reducer unchanged.
     Reducer(Input),
-    /// `GET /v1/models`, which the runner answers from the configuration.
+    /// `GET /v1/models`, to which the runner responds from the configuration.
     ListModels {
         /// The request.
         id: RequestId,
@@ -75,7 +75,7 @@
     /// Queue of the thread that writes to the store.
     pub(crate) store: Sender<FleetEffect>,
     /// Records the metrics of calls.
-    pub(crate) observer: Arc<CallMetrics>,
+    pub(crate) metrics: Arc<CallMetrics>,
 }
 
 /// Owns the reducer and performs its effects.
@@ -126,7 +126,7 @@
                 self.apply(Input::Schedule(Event::Tick));
                 self.update_ready(now_ms);
                 self.handlers
-                    .observer
+                    .metrics
                     .set_open_calls(self.reducer.call_count());
                 next_tick_ms = now_ms + TICK_MS;
             }
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Sets `ready` once the reducer is ready, or after [`RATE_SHARE_WAIT_LIMIT_MS`]. Never
+    /// Sets `ready` once the reducer is ready, or after [`MAX_RATE_SHARE_WAIT_MS`]. Never
     /// clears it: [`Instance::close`](crate::instance::Instance::close) does that when a
     /// planned stop begins.
     fn update_ready(&mut self, now_ms: u64) {
@@ -186,30 +186,31 @@
         let waited_ms = self
             .configured_at_ms
             .map(|at_ms| now_ms.saturating_sub(at_ms));
-        let is_overdue = waited_ms.is_some_and(|ms| ms >= RATE_SHARE_WAIT_LIMIT_MS);
+        let is_overdue = waited_ms.is_some_and(|ms| ms >= MAX_RATE_SHARE_WAIT_MS);
         if is_overdue || self.reducer.is_ready(now_ms) {
             log::info!("event=ready");
             self.ready.store(true, Ordering::SeqCst);
         }
     }
 
-    /// Updates the runner's own state and the metrics for an event that the reducer gets.
+    /// Updates the runner's own state and the metrics for an event that the reducer handles
+    /// next.
     fn observe(&mut self, event: &Event) {
         match event {
             Event::ConfigurationChanged(configuration) => {
                 self.configuration = Some(Arc::clone(configuration));
                 let now_ms = self.clock.now_ms();
                 self.configured_at_ms.get_or_insert(now_ms);
-                self.handlers.observer.set_configuration(configuration);
+                self.handlers.metrics.set_configuration(configuration);
                 self.handlers.engines.set_configuration(configuration);
             }
             Event::DrainStarted => self.draining = true,
             Event::FirstToken { request_id } => {
-                self.handlers.observer.first_token(*request_id);
+                self.handlers.metrics.first_token(*request_id);
             }
             Event::CallFinished { request_id, .. }
             | Event::CallFailed { request_id, .. } => {
-                self.handlers.observer.ended(*request_id);
+                self.handlers.metrics.ended(*request_id);
             }
             _ => {}
         }
@@ -219,7 +220,7 @@
         match effect {
             Effect::Cancel { request_id } => self.calls.cancel(request_id),
             Effect::Dispatch(dispatch) => {
-                self.handlers.observer.dispatched(&dispatch, &self.calls);
+                self.handlers.metrics.dispatched(&dispatch, &self.calls);
                 self.handlers.dispatcher.start(dispatch);
             }
             Effect::DrainComplete => log::info!("event=drain_complete"),
@@ -236,7 +237,7 @@
                 lasted_ms,
             } => self
                 .handlers
-                .observer
+                .metrics
                 .program_ended(&customer, class, lasted_ms),
             Effect::Refuse {
                 request_id,
@@ -249,7 +250,7 @@
                     Value(&refusal.message)
                 );
                 self.handlers
-                    .observer
+                    .metrics
                     .refused(request_id, &refusal, &self.calls);
                 self.calls.refuse(request_id, &refusal);
             }
@@ -264,7 +265,7 @@
         }
     }
 
-    /// Answers a request to open or close a program.
+    /// Responds to a request to open or close a program.
     fn send_reply(&self, id: RequestId, reply: Reply) {
         let (status, body) = match reply {
             Reply::ProgramOpened {
@@ -296,7 +297,7 @@
         });
     }
 
-    /// Answers with the models and adapters of all active endpoints.
+    /// Responds with the models and adapters of all active endpoints.
     fn list_models(&self, id: RequestId, key: Option<KeyHash>) {
         let Some(configuration) = &self.configuration else {
             let refusal =
--- a/crates/core/src/store_link/writer.rs
+++ b/crates/core/src/store_link/writer.rs
@@ -12,9 +12,9 @@
 use crate::store_link::Context;
 use crate::store_link::reader::read_home_weights;
 
-/// How often the creation of a takeover record is attempted when the store's response is
-/// lost or the transaction is rejected.
-const CLAIM_ATTEMPTS: u32 = 3;
+/// Maximum number of attempts to create a takeover record when the store's response is lost
+/// or the transaction is rejected.
+const MAX_CLAIM_ATTEMPTS: u32 = 3;
 
 /// Performs effects until all senders are dropped.
 pub(super) fn run(context: &Context, own: &Incarnation, effects: &Receiver<FleetEffect>) {
@@ -46,14 +46,14 @@
 
 /// Creates the takeover record of the process `of`, unless it exists or this process has a
 /// successor itself; without the second condition two processes could succeed each other.
-/// If the outcome stays unknown, the reducer is told so.
+/// If the outcome stays unknown, sends the reducer [`FleetEvent::TakeoverUnconfirmed`].
 fn claim_takeover(
     context: &Context,
     own: &Incarnation,
     of: Incarnation,
     record: TakeoverRecord,
 ) {
-    for _ in 0..CLAIM_ATTEMPTS {
+    for _ in 0..MAX_CLAIM_ATTEMPTS {
         match takeover_record::<TakeoverRecord>(&context.store, &of).read() {
             Ok(Some(found)) => return send_takeover(context, of, found.value),
             Ok(None) => {}
@@ -96,7 +96,8 @@
     context.send(FleetEvent::TakeoverRead { of, record });
 }
 
-/// Tells the reducer which process has taken over the programs of this one, if there is one.
+/// Reports to the reducer which process has taken over the programs of this one, if there is
+/// one.
 pub(super) fn report_own_successor(context: &Context, own: &Incarnation) {
     if let Ok(Some(found)) = takeover_record(&context.store, own).read() {
         send_takeover(context, own.clone(), found.value);
