--- a/crates/spec/src/configuration.rs
+++ b/crates/spec/src/configuration.rs
@@ -2,7 +2,7 @@
 //! the configuration.
 //!
 //! It checks that an operator is told correctly whether a change was accepted, also when
-//! the answer of the store is lost, and that instances never go back to an older
+//! the response of the store is lost, and that instances never go back to an older
 //! configuration. The transactions, the keyspace and the configuration feed of an instance
 //! are those of `jayreel-store`; the model adds the order of steps and the failures.
 //!
@@ -30,10 +30,10 @@
 /// A protocol rule to break, to show that the search finds the resulting violation.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum SeededFault {
-    /// After a lost answer, the operator takes its own value at a newer version for proof
+    /// After a lost response, the operator takes its own value at a newer version for proof
     /// that the change was accepted.
     CompareValues,
-    /// After a lost answer, the operator takes an unchanged version for proof that the
+    /// After a lost response, the operator takes an unchanged version for proof that the
     /// change was not accepted, although the request may still arrive.
     NoCancellation,
     /// Records are written without a condition on their version.
@@ -47,7 +47,7 @@
 /// How many times each kind of failure may occur.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
 pub struct FailureBounds {
-    /// Requests whose connection breaks before they arrive, and answers that are lost.
+    /// Requests whose connection breaks before they arrive, and responses that are lost.
     pub lost_messages: u8,
     /// Outages of the store.
     pub outages: u8,
--- a/crates/spec/src/configuration_operator.rs
+++ b/crates/spec/src/configuration_operator.rs
@@ -69,7 +69,7 @@
     transaction
 }
 
-/// Outcome of a change as the operator is told it.
+/// Outcome of a change as reported to the operator.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub(crate) enum Report {
     Accepted,
@@ -98,7 +98,7 @@
     Idle,
     /// Sends the change.
     Ready,
-    /// Finds out whether a change without an answer was accepted.
+    /// Finds out whether a change without a response was accepted.
     Resolving { tries_left: u8 },
 }
 
@@ -159,8 +159,8 @@
         self.phase = Phase::Idle;
     }
 
-    /// Continues after a try without an answer. With no tries left, the outcome is unknown.
-    pub(crate) fn after_unanswered_try(&mut self, tries_left: u8) {
+    /// Continues after a try without a response. With no tries left, the outcome is unknown.
+    pub(crate) fn after_try_without_response(&mut self, tries_left: u8) {
         match tries_left {
             0 => self.report(Report::Unknown),
             tries_left => self.phase = Phase::Resolving { tries_left },
@@ -226,7 +226,7 @@
         change::with_marker(change, &attempt.id, attempt.lease)
     }
 
-    /// Sends the change. The store may be down, the answer may be lost, or the request delayed.
+    /// Sends the change. The store may be down, the response may be lost, or the request delayed.
     fn send_change(&self, index: usize, fault: Option<SeededFault>) -> Vec<World> {
         let change = self.marked_change(index, fault);
         let mut steps = Vec::new();
@@ -236,8 +236,9 @@
             steps.push(next);
         }
         if self.store_is_up {
-            let mut next =
-                self.next(format!("operator {index} sends its change, answer arrives"));
+            let mut next = self.next(format!(
+                "operator {index} sends its change, response arrives"
+            ));
             let made = next.commit(&change);
             next.operators[index].last_attempt().was_applied = made;
             let report = if made {
@@ -250,11 +251,11 @@
         }
         if self.store_is_up && self.failures_left.lost_messages > 0 {
             let mut next =
-                self.next(format!("operator {index} sends its change, answer lost"));
+                self.next(format!("operator {index} sends its change, response lost"));
             next.failures_left.lost_messages -= 1;
             let made = next.commit(&change);
             next.operators[index].last_attempt().was_applied = made;
-            next.operators[index].after_unanswered_try(RESOLVE_TRIES);
+            next.operators[index].after_try_without_response(RESOLVE_TRIES);
             steps.push(next);
         }
         steps.extend(self.delay_request(index, true, change, RESOLVE_TRIES));
@@ -281,7 +282,7 @@
             is_change,
             transaction: Arc::new(transaction),
         });
-        next.operators[index].after_unanswered_try(tries_left);
+        next.operators[index].after_try_without_response(tries_left);
         Some(next)
     }
 }
--- a/crates/spec/src/configuration_resolve.rs
+++ b/crates/spec/src/configuration_resolve.rs
@@ -1,4 +1,4 @@
-//! How the operators of the configuration model find out whether a change without an answer
+//! How the operators of the configuration model find out whether a change without a response
 //! was accepted, and the arrival of delayed requests.
 
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use crate::configuration_operator::Report;
 
 impl World {
-    /// Tries once to find out whether a change without an answer was accepted: cancels it,
+    /// Tries once to find out whether a change without a response was accepted: cancels it,
     /// or reads its marker if it cannot be cancelled any more.
     pub(crate) fn resolve(
         &self,
@@ -26,7 +26,7 @@
         let cancel = change::cancel(&attempt.id, attempt.lease);
         if !self.store_is_up {
             let mut next = self.next(format!("operator {index} cannot reach the store"));
-            next.operators[index].after_unanswered_try(tries_left - 1);
+            next.operators[index].after_try_without_response(tries_left - 1);
             return vec![next];
         }
         let mut steps = Vec::new();
@@ -39,11 +39,12 @@
         next.operators[index].report(report);
         steps.push(next);
         if self.failures_left.lost_messages > 0 {
-            let mut next =
-                self.next(format!("operator {index} cancels its change, answer lost"));
+            let mut next = self.next(format!(
+                "operator {index} cancels its change, response lost"
+            ));
             next.failures_left.lost_messages -= 1;
             next.commit(&cancel);
-            next.operators[index].after_unanswered_try(tries_left - 1);
+            next.operators[index].after_try_without_response(tries_left - 1);
             steps.push(next);
         }
         steps.extend(self.delay_request(index, false, cancel, tries_left - 1));
--- a/crates/spec/src/home_weights.rs
+++ b/crates/spec/src/home_weights.rs
@@ -4,7 +4,7 @@
 //! contracts. The model checks that instances never use more than the whole of a contract
 //! together while weights move between them and instances join, stop or fail.
 //!
-//! A search is bounded to 2 or 3 instances, a number of ticks, and a few lost answers,
+//! A search is bounded to 2 or 3 instances, a number of ticks, and a few lost responses,
 //! abandoned calls, clock lags, crashes and restarts. An outage of the store is a period in
 //! which it processes none of the calls under way. Reads are atomic, but an instance may
 //! plan with what it read at any later time. Without loans, an increased weight takes effect
@@ -38,8 +38,8 @@
     /// A weight that was adopted from an earlier process of the instance counts as settled at
     /// once.
     AdoptSettled,
-    /// An instance forgets a write without an answer, although the store may still apply it.
-    ForgetUnansweredWrite,
+    /// An instance forgets a write without a response, although the store may still apply it.
+    ForgetWriteWithoutResponse,
     /// A weight that an operator removes from a dead instance counts as released.
     ForgetReleases,
     /// A weight is reclaimed as soon as the registration of its holder is absent.
@@ -74,11 +74,11 @@
     pub store_contacts: u8,
     /// Number of the last tick.
     pub ticks: u64,
-    /// Calls to the store for whose answer the sender stops waiting. The store may still
+    /// Calls to the store for whose response the sender stops waiting. The store may still
     /// process them.
     pub abandoned_calls: u8,
-    /// Answers of the store that are lost.
-    pub lost_answers: u8,
+    /// Responses of the store that are lost.
+    pub lost_responses: u8,
     /// Number of ticks in which the clock of one instance stands still.
     pub clock_lags: u8,
     /// Processes that crash and do not start again.
@@ -127,11 +127,11 @@
     Lag(usize),
     /// An instance sends a renewal of its registration.
     Renew(usize),
-    /// The store processes a call and its answer arrives.
+    /// The store processes a call and its response arrives.
     ProcessCall(usize),
-    /// The store processes a call and its answer is lost.
-    ProcessAndLoseAnswer(usize),
-    /// An instance stops waiting for the answer to its call.
+    /// The store processes a call and its response is lost.
+    ProcessAndLoseResponse(usize),
+    /// An instance stops waiting for the response to its call.
     AbandonCall(usize),
     /// An instance reads the record and the registrations.
     Read(usize),
--- a/crates/spec/src/home_weights_events.rs
+++ b/crates/spec/src/home_weights_events.rs
@@ -14,7 +14,7 @@
         if !instance.alive {
             return;
         }
-        if !instance.awaits_answer && self.calls.len() < MAX_CALLS {
+        if !instance.awaits_response && self.calls.len() < MAX_CALLS {
             let may_contact =
                 index < self.scope.steady_instances || self.store_contacts > 0;
             if may_contact && instance.renewed_ms != Some(instance.now_ms) {
@@ -27,7 +27,7 @@
                 events.push(HomeEvent::ExecuteNextStep(index));
             }
         }
-        if instance.awaits_answer && self.abandoned_calls > 0 {
+        if instance.awaits_response && self.abandoned_calls > 0 {
             events.push(HomeEvent::AbandonCall(index));
         }
         if self.crashes > 0 {
@@ -58,8 +58,8 @@
         }
         self.loan_events(&mut events);
         events.extend((0..self.calls.len()).map(HomeEvent::ProcessCall));
-        if self.lost_answers > 0 {
-            events.extend((0..self.calls.len()).map(HomeEvent::ProcessAndLoseAnswer));
+        if self.lost_responses > 0 {
+            events.extend((0..self.calls.len()).map(HomeEvent::ProcessAndLoseResponse));
         }
         events
     }
@@ -77,13 +77,13 @@
                 next.renew(index);
             }
             HomeEvent::ProcessCall(position) => next.process_call(position, true),
-            HomeEvent::ProcessAndLoseAnswer(position) => {
-                next.lost_answers -= 1;
+            HomeEvent::ProcessAndLoseResponse(position) => {
+                next.lost_responses -= 1;
                 next.process_call(position, false);
             }
             HomeEvent::AbandonCall(index) => {
                 next.abandoned_calls -= 1;
-                next.instances[index].awaits_answer = false;
+                next.instances[index].awaits_response = false;
             }
             HomeEvent::Read(index) => {
                 next.count_store_contact(index);
--- a/crates/spec/src/home_weights_instance.rs
+++ b/crates/spec/src/home_weights_instance.rs
@@ -42,12 +42,12 @@
     pub view: Option<Rc<View>>,
     /// Revision of the record on which the last own write was based.
     pub last_write_on: Option<u64>,
-    /// When the last answered renewal of the registration was sent.
+    /// When the last renewal of the registration that got a response was sent.
     pub renewed_ms: Option<u64>,
     /// How long the registrations of other instances have been absent.
     pub absence: AbsenceTracker,
-    /// Whether the instance waits for the answer to a call to the store.
-    pub awaits_answer: bool,
+    /// Whether the instance waits for the response to a call to the store.
+    pub awaits_response: bool,
     /// The home weight that is valid now, 0 if the process is dead. Cached.
     pub held_ppm: u32,
     /// The share of the customer's contract that the instance may use now: its home weight
@@ -117,7 +117,7 @@
             last_write_on: (number == 0).then_some(0),
             renewed_ms: None,
             absence: absence(scope.fault),
-            awaits_answer: false,
+            awaits_response: false,
             held_ppm: 0,
             in_use_ppm: 0,
             within_home_weight: true,
@@ -164,7 +164,7 @@
             _ => TERM_TICKS * TICK_MS,
         };
         let last_write_on = match fault {
-            Some(HomeFault::ForgetUnansweredWrite) => {
+            Some(HomeFault::ForgetWriteWithoutResponse) => {
                 let entry = view.record.weights.get(self.name());
                 entry.map(|entry| entry.written_on)
             }
@@ -222,9 +222,9 @@
         }
     }
 
-    /// Extends the validity of the home weight after the answer to a renewal that was sent at
+    /// Extends the validity of the home weight after the response to a renewal that was sent at
     /// `sent_ms`.
-    pub fn on_renewal_answer(&mut self, sent_ms: u64, fault: Option<HomeFault>) {
+    pub fn on_renewal_response(&mut self, sent_ms: u64, fault: Option<HomeFault>) {
         let held_ppm = match fault {
             Some(HomeFault::RenewAfterLapse) => {
                 let record = self.view.as_ref().map(|view| &view.record);
--- a/crates/spec/src/home_weights_loans.rs
+++ b/crates/spec/src/home_weights_loans.rs
@@ -29,7 +29,7 @@
         );
     }
 
-    /// Instance `to` requests a loan and `from` answers it. The grant arrives at once, or is
+    /// Instance `to` requests a loan and `from` responds. The grant arrives at once, or is
     /// under way if grants may be late.
     pub(crate) fn lend(&mut self, from: usize, to: usize) {
         let Some(request) = self.instances[to].request_loan() else {
--- a/crates/spec/src/home_weights_world.rs
+++ b/crates/spec/src/home_weights_world.rs
@@ -40,7 +40,7 @@
     pub(crate) grants: Vec<(usize, LoanGrant)>,
     pub(crate) store_contacts: u8,
     pub(crate) abandoned_calls: u8,
-    pub(crate) lost_answers: u8,
+    pub(crate) lost_responses: u8,
     pub(crate) clock_lags: u8,
     pub(crate) crashes: u8,
     pub(crate) restarts: u8,
@@ -63,7 +63,7 @@
             grants: Vec::new(),
             store_contacts: scope.store_contacts,
             abandoned_calls: scope.abandoned_calls,
-            lost_answers: scope.lost_answers,
+            lost_responses: scope.lost_responses,
             clock_lags: scope.clock_lags,
             crashes: scope.crashes,
             restarts: scope.restarts,
@@ -127,7 +127,7 @@
         let incarnation = instance.owner.incarnation.clone();
         if instance.alive && self.register(&incarnation) {
             let instance = &mut self.instances[index];
-            instance.on_renewal_answer(instance.now_ms, self.scope.fault);
+            instance.on_renewal_response(instance.now_ms, self.scope.fault);
             self.read(index);
         }
     }
@@ -153,7 +153,7 @@
 
     pub(crate) fn send_call(&mut self, index: usize, call: StoreCall) {
         let instance = &mut self.instances[index];
-        instance.awaits_answer = true;
+        instance.awaits_response = true;
         let incarnation = instance.owner.incarnation.clone();
         self.calls.push((index, incarnation, call));
     }
@@ -171,9 +171,9 @@
         );
     }
 
-    /// The store processes a call. Its sender ignores the answer after it has restarted or
+    /// The store processes a call. Its sender ignores the response after it has restarted or
     /// stopped waiting.
-    pub(crate) fn process_call(&mut self, position: usize, answer_arrives: bool) {
+    pub(crate) fn process_call(&mut self, position: usize, response_arrives: bool) {
         let (index, sender, call) = self.calls.remove(position);
         let succeeded = match &call {
             StoreCall::Renew { incarnation, .. } => self.register(incarnation),
@@ -185,13 +185,13 @@
         };
         let instance = &mut self.instances[index];
         let is_sender = instance.owner.incarnation == sender && instance.alive;
-        if !is_sender || !instance.awaits_answer {
+        if !is_sender || !instance.awaits_response {
             return;
         }
-        instance.awaits_answer = false;
+        instance.awaits_response = false;
         match call {
-            StoreCall::Renew { sent_ms, .. } if answer_arrives && succeeded => {
-                instance.on_renewal_answer(sent_ms, self.scope.fault);
+            StoreCall::Renew { sent_ms, .. } if response_arrives && succeeded => {
+                instance.on_renewal_response(sent_ms, self.scope.fault);
             }
             _ => {}
         }
--- a/crates/spec/src/ledger.rs
+++ b/crates/spec/src/ledger.rs
@@ -1,7 +1,7 @@
 //! Model of the budget ledger, which a group of instances keeps on their disks.
 //!
 //! A turn is admitted once a quorum of the group has recorded its reservation. The model
-//! covers concurrent turns, lost answers, lost disks and one change of the group. The code
+//! covers concurrent turns, lost responses, lost disks and one change of the group. The code
 //! under test is that of `jayreel-ledger`: `BudgetCheck` admits turns, and `Group` and
 //! `MembershipState` determine which instances vote.
 
@@ -27,12 +27,12 @@
     NoReread,
     /// A member that lost its disk votes before it has copied the charges of the others.
     VoteWithoutCopy,
-    /// A member answers for an older version of the group than the one it knows.
-    OldVersionAnswered,
+    /// A member accepts a request for an older version of the group than the one it knows.
+    OldVersionAccepted,
     /// A member that lost its disk may read the first version of the group although the
     /// store has the second.
     StaleGroup,
-    /// A member that lost its disk copies charges while a turn that it answered before the
+    /// A member that lost its disk copies charges while a turn that it responded to before the
     /// loss is still being decided.
     NoCopyDelay,
 }
@@ -46,8 +46,8 @@
     pub budget_tokens: u64,
     /// How many times an instance may lose its disk.
     pub disk_losses: u8,
-    /// Whether the answers of members may be lost.
-    pub answers_may_be_lost: bool,
+    /// Whether the responses of members may be lost.
+    pub responses_may_be_lost: bool,
     /// Whether the spare may replace the first member.
     pub group_may_change: bool,
     /// The rule to break, if any.
@@ -74,15 +74,15 @@
     Refused,
 }
 
-/// Decides one turn: collects the answers of a quorum and checks them against the budget.
+/// Decides one turn: collects the responses of a quorum and checks them against the budget.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct Coordinator {
     progress: Progress,
-    /// Version of the group that is asked.
+    /// Version of the group that the requests are sent to.
     version: u64,
-    /// Members that answered in this phase.
-    answered: BTreeSet<usize>,
-    /// Turns with a reservation in one of the answers so far.
+    /// Members that responded in this phase.
+    responded: BTreeSet<usize>,
+    /// Turns with a reservation in one of the responses so far.
     reported_turns: BTreeSet<u8>,
 }
 
@@ -100,13 +100,13 @@
 /// A transition of the model.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A member processes a turn's request, and its answer arrives or is lost.
-    AskMember {
+    /// A member processes a turn's request, and its response arrives or is lost.
+    RequestFromMember {
         /// The turn to decide.
         turn: u8,
-        /// The member that is asked.
+        /// The member that receives the request.
         at: usize,
-        /// Whether the answer is lost.
+        /// Whether the response is lost.
         is_lost: bool,
     },
     /// The decision on a turn starts again in the newest group, after a timeout or because
@@ -187,7 +187,7 @@
         let coordinator = Coordinator {
             progress: Progress::Reserving,
             version: 1,
-            answered: BTreeSet::new(),
+            responded: BTreeSet::new(),
             reported_turns: BTreeSet::new(),
         };
         World {
@@ -203,29 +203,29 @@
         self.scope.fault == Some(fault)
     }
 
-    fn ask_member(&mut self, turn: u8, at: usize, is_lost: bool) {
-        let answers_old_version = self.has(Fault::OldVersionAnswered);
+    fn request_from_member(&mut self, turn: u8, at: usize, is_lost: bool) {
+        let accepts_old_version = self.has(Fault::OldVersionAccepted);
         let coordinator = &mut self.coordinators[usize::from(turn)];
         let instance = &mut self.instances[at];
-        let is_known = match answers_old_version {
+        let is_known = match accepts_old_version {
             true => coordinator.version <= instance.version,
             false => coordinator.version == instance.version,
         };
         if !is_known
-            || (instance.membership == MembershipState::Spare && !answers_old_version)
+            || (instance.membership == MembershipState::Spare && !accepts_old_version)
         {
             return;
         }
         if coordinator.progress == Progress::Reserving {
             instance.charged_turns.insert(turn);
         }
-        let votes = instance.membership == MembershipState::Voting || answers_old_version;
+        let votes = instance.membership == MembershipState::Voting || accepts_old_version;
         if !votes || is_lost {
             return;
         }
         coordinator.reported_turns.extend(&instance.charged_turns);
-        coordinator.answered.insert(at);
-        if coordinator.answered.len() >= group(coordinator.version).quorum() {
+        coordinator.responded.insert(at);
+        if coordinator.responded.len() >= group(coordinator.version).quorum() {
             self.decide(turn);
         }
     }
@@ -254,7 +254,7 @@
                 Decision::Admit => Progress::Admitted,
                 Decision::Exhausted => Progress::Refused,
                 Decision::Reread => {
-                    coordinator.answered.clear();
+                    coordinator.responded.clear();
                     Progress::Rereading
                 }
             };
@@ -314,14 +314,14 @@
         self.learn_group(at, read);
     }
 
-    /// Whether a member may copy charges: only after all turns that it answered before are
+    /// Whether a member may copy charges: only after all turns that it responded to before are
     /// decided or were restarted.
     fn may_copy_charges(&self, at: usize) -> bool {
         let mut coordinators = self.coordinators.iter();
-        let has_no_open_answers = !coordinators.any(|coordinator| {
-            coordinator.is_undecided() && coordinator.answered.contains(&at)
+        let has_no_pending_responses = !coordinators.any(|coordinator| {
+            coordinator.is_undecided() && coordinator.responded.contains(&at)
         });
-        has_no_open_answers || self.has(Fault::NoCopyDelay)
+        has_no_pending_responses || self.has(Fault::NoCopyDelay)
     }
 }
 
@@ -342,16 +342,17 @@
                 continue;
             }
             for at in group(coordinator.version).members.iter().map(index) {
-                if coordinator.answered.contains(&at) {
+                if coordinator.responded.contains(&at) {
                     continue;
                 }
-                let ask_member = |is_lost| Event::AskMember { turn, at, is_lost };
-                events.push(ask_member(false));
-                if self.scope.answers_may_be_lost {
-                    events.push(ask_member(true));
+                let request_from_member =
+                    |is_lost| Event::RequestFromMember { turn, at, is_lost };
+                events.push(request_from_member(false));
+                if self.scope.responses_may_be_lost {
+                    events.push(request_from_member(true));
                 }
             }
-            if coordinator.version < self.version || !coordinator.answered.is_empty() {
+            if coordinator.version < self.version || !coordinator.responded.is_empty() {
                 events.push(Event::Restart(turn));
             }
         }
@@ -385,14 +386,14 @@
     fn apply(&self, event: &Event) -> World {
         let mut next = self.clone();
         match event {
-            Event::AskMember { turn, at, is_lost } => {
-                next.ask_member(*turn, *at, *is_lost)
+            Event::RequestFromMember { turn, at, is_lost } => {
+                next.request_from_member(*turn, *at, *is_lost)
             }
             Event::Restart(turn) => {
                 next.coordinators[usize::from(*turn)] = Coordinator {
                     progress: Progress::Reserving,
                     version: next.version,
-                    answered: BTreeSet::new(),
+                    responded: BTreeSet::new(),
                     reported_turns: BTreeSet::new(),
                 };
             }
--- a/crates/spec/src/ownership_budget.rs
+++ b/crates/spec/src/ownership_budget.rs
@@ -8,7 +8,7 @@
 //! failures, any of which may occur at any step:
 //!
 //! - The store applies a write of grants late, twice or never.
-//! - The answer to a write is lost, so that the process reads the record back while the write
+//! - The response to a write is lost, so that the process reads the record back while the write
 //!   may still be under way.
 //! - A process claims the takeover of the responsible process, which may still run.
 //! - A process does not read the takeover records.
--- a/crates/spec/src/ownership_budget/process.rs
+++ b/crates/spec/src/ownership_budget/process.rs
@@ -116,7 +116,7 @@
         steps.push((Step::new("write grants", at, 0), next));
     }
 
-    /// After a write was answered, or its answer was lost, the process reads what is stored.
+    /// After a write got a response, or its response was lost, the process reads what is stored.
     fn read_back(&self, state: &State, at: usize, steps: &mut Vec<(Step, State)>) {
         let Some(pending) = &state.processes[at].pending else {
             return;
--- a/crates/spec/src/ownership_calls.rs
+++ b/crates/spec/src/ownership_calls.rs
@@ -22,7 +22,7 @@
 //!
 //! Some failures need no step of their own. A crash without restart, a pause, a partition
 //! and a lost message are processes or messages without further steps. A delayed claim has
-//! the effect of one that is made later. A delayed answer has the effect of a later repeat,
+//! the effect of one that is made later. A delayed response has the effect of a later repeat,
 //! and a lost one that of a caller that has given up before.
 //!
 //! A search is bounded to 2 or 3 processes, one or two calls, and a number of requests. The
--- a/crates/spec/src/ownership_calls/caller.rs
+++ b/crates/spec/src/ownership_calls/caller.rs
@@ -1,7 +1,7 @@
 //! Steps of the caller, of messages under way, and of the endpoint.
 
 use super::model::CallsModel;
-use super::world::{Answer, Message, Request, State};
+use super::world::{Message, Request, Response, State};
 use crate::ownership::Step;
 
 impl CallsModel {
@@ -60,48 +60,48 @@
             Message::Endpoint { request, by } => {
                 next.messages.remove(&message);
                 next.run(request);
-                self.on_endpoint_answer(&mut next, by, request);
+                self.on_endpoint_response(&mut next, by, request);
                 steps.push((Step::new("endpoint runs", by, request), next));
             }
         }
     }
 
-    /// The caller receives an answer. It ignores answers to all but its newest request.
-    fn deliver_answer(&self, state: &mut State, request: usize, answer: Answer) {
+    /// The caller receives a response. It ignores responses to all but its newest request.
+    fn deliver_response(&self, state: &mut State, request: usize, response: Response) {
         if state.awaited_request != Some(request) {
             return;
         }
         state.awaited_request = None;
-        match answer {
-            Answer::Done => {
+        match response {
+            Response::Done => {
                 state.action += 1;
             }
-            Answer::NotRun => {}
-            Answer::Unknown(Some(epoch)) => state.epoch = Some(epoch),
-            // A caller that waits for each answer cannot find out the outcome, and stops.
-            Answer::Unknown(None) => state.caller_has_stopped = self.caller_waits,
+            Response::NotRun => {}
+            Response::Unknown(Some(epoch)) => state.epoch = Some(epoch),
+            // A caller that waits for each response cannot find out the outcome, and stops.
+            Response::Unknown(None) => state.caller_has_stopped = self.caller_waits,
         }
     }
 
-    /// Sends an answer to the caller, or to the instance that forwarded the call if there is
-    /// one. That instance passes the answer on unless its connection broke before.
-    pub(super) fn answer(
+    /// Sends a response to the caller, or to the instance that forwarded the call if there is
+    /// one. That instance passes the response on unless its connection broke before.
+    pub(super) fn respond(
         &self,
         state: &mut State,
         request: usize,
         forwarder: Option<usize>,
-        answer: Answer,
+        response: Response,
     ) {
         match forwarder {
             Some(to) if state.remove_pending_call(to, request) => {
-                self.answer(state, request, None, answer);
+                self.respond(state, request, None, response);
             }
             // The connection of the forwarding instance broke before.
             Some(_) => {}
             None => {
                 state.requests[request].was_refused_as_not_run |=
-                    answer == Answer::NotRun;
-                self.deliver_answer(state, request, answer);
+                    response == Response::NotRun;
+                self.deliver_response(state, request, response);
             }
         }
     }
--- a/crates/spec/src/ownership_calls/model.rs
+++ b/crates/spec/src/ownership_calls/model.rs
@@ -48,7 +48,7 @@
     pub names_turns: bool,
     /// Whether the calls carry an idempotency key.
     pub has_idempotency_key: bool,
-    /// Whether the caller waits for each answer. Otherwise it may give up and repeat.
+    /// Whether the caller waits for each response. Otherwise it may give up and repeat.
     pub caller_waits: bool,
     /// Whether process 0 may stop as planned and hand over to process 1.
     pub has_handover: bool,
--- a/crates/spec/src/ownership_calls/process.rs
+++ b/crates/spec/src/ownership_calls/process.rs
@@ -10,7 +10,7 @@
 };
 
 use super::model::{CallsModel, Fault};
-use super::world::{Answer, Message, PendingCall, Stage, State};
+use super::world::{Message, PendingCall, Response, Stage, State};
 use crate::ownership::{Step, incarnation, process};
 
 /// How long a registration must have been absent before the process is taken over.
@@ -60,7 +60,7 @@
                 }
                 // A claim is a separate step. The caller has to repeat the call after it.
                 Decision::ClaimTakeover { .. } | Decision::Refuse(_) => {
-                    self.answer(&mut next, request, forwarder, Answer::NotRun);
+                    self.respond(&mut next, request, forwarder, Response::NotRun);
                     steps.push((Step::new("refuse", at, request), next));
                 }
             }
@@ -77,7 +77,7 @@
         steps: &mut Vec<(Step, State)>,
     ) {
         let mut next = state.clone();
-        self.answer(&mut next, request, None, Answer::NotRun);
+        self.respond(&mut next, request, None, Response::NotRun);
         steps.push((Step::new("cannot connect", at, request), next));
         let mut next = state.clone();
         next.process(at).pending_calls.insert(PendingCall {
@@ -141,23 +141,23 @@
     }
 
     /// Applies the admission decision on a pending call.
-    fn resolve(&self, state: &mut State, at: usize, request: usize, answer: Admission) {
+    fn resolve(&self, state: &mut State, at: usize, request: usize, response: Admission) {
         let mut pending_calls = state.processes[at].pending_calls.iter().copied();
         let Some(call) = pending_calls.find(|call| call.request == request) else {
             return;
         };
-        match answer {
+        match response {
             Admission::Run { .. } => state.set_stage(at, call, Stage::Admitted),
             Admission::Wait => {}
             Admission::NeedsGrant => unreachable!("calls in this model use no tokens"),
             Admission::Refuse(refusal) => {
                 state.process(at).pending_calls.remove(&call);
-                let answer = match refusal.ran {
-                    Ran::No => Answer::NotRun,
-                    Ran::Yes => Answer::Done,
-                    Ran::Unknown => Answer::Unknown(Some(at)),
+                let response = match refusal.ran {
+                    Ran::No => Response::NotRun,
+                    Ran::Yes => Response::Done,
+                    Ran::Unknown => Response::Unknown(Some(at)),
                 };
-                self.answer(state, request, call.forwarder, answer);
+                self.respond(state, request, call.forwarder, response);
             }
         }
     }
@@ -180,8 +180,8 @@
         }
     }
 
-    /// The answer of the endpoint arrives.
-    pub(super) fn on_endpoint_answer(
+    /// The response of the endpoint arrives.
+    pub(super) fn on_endpoint_response(
         &self,
         state: &mut State,
         at: usize,
@@ -194,7 +194,7 @@
             return;
         };
         state.process(at).pending_calls.remove(&call);
-        self.answer(state, request, call.forwarder, Answer::Done);
+        self.respond(state, request, call.forwarder, Response::Done);
         let programs = Rc::make_mut(&mut state.process(at).programs);
         let effects = programs.finish(0, RequestId(request as u64), None);
         self.apply_effects(state, at, effects);
@@ -240,7 +240,7 @@
         if self.fault == Fault::DispatchAfterDeadline {
             next.messages.insert(endpoint);
         }
-        self.answer(&mut next, request, call.forwarder, Answer::NotRun);
+        self.respond(&mut next, request, call.forwarder, Response::NotRun);
         self.fail_call(&mut next, at, request, Ran::No);
         steps.push((Step::new("too late to dispatch", at, request), next));
     }
@@ -256,7 +256,7 @@
         let request = call.request;
         let mut next = state.clone();
         next.process(at).pending_calls.remove(&call);
-        self.answer(&mut next, request, call.forwarder, Answer::Unknown(None));
+        self.respond(&mut next, request, call.forwarder, Response::Unknown(None));
         let ran = match self.fault {
             Fault::ForgetUnknown => Ran::No,
             _ => Ran::Unknown,
@@ -276,11 +276,11 @@
         let request = call.request;
         let mut next = state.clone();
         next.process(at).pending_calls.remove(&call);
-        let answer = match self.fault {
-            Fault::NotRunAfterSending => Answer::NotRun,
-            _ => Answer::Unknown(None),
+        let response = match self.fault {
+            Fault::NotRunAfterSending => Response::NotRun,
+            _ => Response::Unknown(None),
         };
-        self.answer(&mut next, request, None, answer);
+        self.respond(&mut next, request, None, response);
         steps.push((Step::new("forwarding breaks", at, request), next));
         if self.fault != Fault::RetryAfterSending || call.was_retried {
             return;
--- a/crates/spec/src/ownership_calls/world.rs
+++ b/crates/spec/src/ownership_calls/world.rs
@@ -13,15 +13,15 @@
 use super::model::{CallsModel, Property};
 use crate::ownership::{Model, Step, incarnation, takeover_records};
 
-/// Answer to a request.
+/// Response to a request.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub(super) enum Answer {
+pub(super) enum Response {
     /// The call ran.
     Done,
     /// The call was refused and did not run.
     NotRun,
     /// It is unknown whether the call ran. Holds the process whose epoch a repeat may name, if
-    /// the answer tells it.
+    /// the response says so.
     Unknown(Option<usize>),
 }
 
@@ -54,7 +54,7 @@
     Forwarded,
 }
 
-/// A call that a process has not answered yet.
+/// A call that a process has not responded to yet.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(super) struct PendingCall {
     pub(super) request: usize,
@@ -101,7 +101,7 @@
     pub(super) action: usize,
     /// The process whose epoch the caller names in new requests.
     pub(super) epoch: Option<usize>,
-    /// The newest request, while it has no answer.
+    /// The newest request, while it has no response.
     pub(super) awaited_request: Option<usize>,
     /// Whether the caller sends no more requests.
     pub(super) caller_has_stopped: bool,
--- a/crates/spec/src/ownership_keyed.rs
+++ b/crates/spec/src/ownership_keyed.rs
@@ -50,7 +50,7 @@
 pub enum Fault {
     /// No rule is broken.
     None,
-    /// The age of a view is counted from the arrival of the answer, up to a tick after the
+    /// The age of a view is counted from the arrival of the response, up to a tick after the
     /// registrations were read.
     DatedAtArrival,
     /// A call is dispatched two ticks after the deadline.
--- a/crates/spec/src/quota_loans_world.rs
+++ b/crates/spec/src/quota_loans_world.rs
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Instance `to` answers a loan request, and sends a grant unless the loan is 0.
+    /// Instance `to` responds to a loan request, and sends a grant unless the loan is 0.
     pub(crate) fn lend(&mut self, to: usize, request: &LoanRequest) {
         let reduces_later = self.has(LoanFault::ReduceAfterGrant);
         let instance = &mut self.instances[to];
--- a/crates/spec/tests/home_weights.rs
+++ b/crates/spec/tests/home_weights.rs
@@ -14,7 +14,7 @@
         store_contacts: 8,
         ticks: 1,
         abandoned_calls: 1,
-        lost_answers: 1,
+        lost_responses: 1,
         clock_lags: 0,
         crashes: 0,
         restarts: 0,
@@ -33,7 +33,7 @@
         steady_instances: 1,
         store_contacts: 3,
         ticks: 3,
-        lost_answers: 0,
+        lost_responses: 0,
         ..joining()
     }
 }
@@ -121,13 +121,13 @@
         store_contacts: 4,
         ticks: 2,
         abandoned_calls: 0,
-        lost_answers: 0,
+        lost_responses: 0,
         ..joining()
     }
 }
 
-/// Answers are lost and calls are abandoned while weight moves and parts of it are lent.
-fn lending_with_lost_answers() -> HomeScope {
+/// Responses are lost and calls are abandoned while weight moves and parts of it are lent.
+fn lending_with_lost_responses() -> HomeScope {
     HomeScope {
         loans: 1,
         store_contacts: 8,
@@ -190,7 +190,7 @@
 #[test_case("stopping", stopping(); "stopping")]
 #[test_case("three instances", three_instances(); "three instances")]
 #[test_case("lending", lending(); "lending")]
-#[test_case("lending with lost answers", lending_with_lost_answers(); "lending with lost answers")]
+#[test_case("lending with lost responses", lending_with_lost_responses(); "lending with lost responses")]
 #[test_case("lending and reclaiming", lending_and_reclaiming(); "lending and reclaiming")]
 #[test_case("lending and restarting", lending_and_restarting(); "lending and restarting")]
 #[test_case("lending and forgetting", lending_and_forgetting(); "lending and forgetting")]
@@ -200,7 +200,7 @@
     assert!(outcome.violation.is_none(), "{:?}", outcome.violation);
 }
 
-#[test_case(HomeFault::ForgetUnansweredWrite, leaving_again(); "forget unanswered write")]
+#[test_case(HomeFault::ForgetWriteWithoutResponse, leaving_again(); "forget write without response")]
 #[test_case(HomeFault::ReclaimEarly, reclaiming(); "reclaim early")]
 #[test_case(HomeFault::RenewAfterLapse, reclaiming(); "renew after lapse")]
 #[test_case(HomeFault::NoRewriteAfterLapse, reclaiming(); "no rewrite after lapse")]
--- a/crates/spec/tests/ledger.rs
+++ b/crates/spec/tests/ledger.rs
@@ -9,7 +9,7 @@
     turns: 3,
     budget_tokens: 2,
     disk_losses: 0,
-    answers_may_be_lost: true,
+    responses_may_be_lost: true,
     group_may_change: false,
     fault: None,
 };
@@ -27,7 +27,7 @@
 };
 const CHANGED_GROUP_AND_LOST_DISK: Scope = Scope {
     disk_losses: 1,
-    answers_may_be_lost: false,
+    responses_may_be_lost: false,
     ..CHANGED_GROUP
 };
 
@@ -41,22 +41,25 @@
     assert!(outcome.states > 1_000, "{} states", outcome.states);
 }
 
-/// The combination of a group change, a lost disk and lost answers. Run by hand, since it
+/// The combination of a group change, a lost disk and lost responses. Run by hand, since it
 /// takes minutes.
 #[test]
 #[ignore = "takes minutes"]
 fn budget_is_not_exceeded_with_all_failures() {
     let scope = Scope {
-        answers_may_be_lost: true,
+        responses_may_be_lost: true,
         ..CHANGED_GROUP_AND_LOST_DISK
     };
-    let outcome = search("a change, a lost disk and lost answers", World::new(scope));
+    let outcome = search(
+        "a change, a lost disk and lost responses",
+        World::new(scope),
+    );
     assert!(outcome.violation.is_none(), "{:?}", outcome.violation);
 }
 
 #[test_case(BASE, Fault::NoReread)]
 #[test_case(LOST_DISK, Fault::VoteWithoutCopy)]
-#[test_case(CHANGED_GROUP, Fault::OldVersionAnswered)]
+#[test_case(CHANGED_GROUP, Fault::OldVersionAccepted)]
 #[test_case(CHANGED_GROUP_AND_LOST_DISK, Fault::StaleGroup)]
 #[test_case(LOST_DISK, Fault::NoCopyDelay)]
 fn seeded_fault_is_found(scope: Scope, fault: Fault) {
--- a/crates/spec/tests/ownership_calls.rs
+++ b/crates/spec/tests/ownership_calls.rs
@@ -27,7 +27,7 @@
     ..KEYED
 };
 
-/// A caller of model calls that waits for each answer.
+/// A caller of model calls that waits for each response.
 const WAITING: CallsModel = CallsModel {
     repeatable: true,
     has_idempotency_key: false,
