--- a/crates/membership/src/heartbeat.rs
+++ b/crates/membership/src/heartbeat.rs
@@ -3,7 +3,7 @@
 use jayreel_model::Incarnation;
 use serde::{Deserialize, Serialize};
 
-/// The state of an instance, sent to its peers and as the answer to a peer's heartbeat.
+/// The state of an instance, sent to its peers and as the response to a peer's heartbeat.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Heartbeat {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,7 +1,7 @@
 //! Tracks which other instances are alive, from the view of one instance.
 //!
-//! Heartbeats tell which peers answer; registrations in the store tell which processes
-//! exist. A peer that does not answer only gets no new work. It keeps its programs and
+//! Heartbeats tell which peers respond; registrations in the store tell which processes
+//! exist. A peer that does not respond only gets no new work. It keeps its programs and
 //! its shares of the customers' contracts until its registration is gone from the store.
 //!
 //! This crate does no I/O and reads no clock. Methods that depend on the time take
--- a/crates/membership/src/liveness.rs
+++ b/crates/membership/src/liveness.rs
@@ -1,5 +1,5 @@
 //! The liveness of one peer by its heartbeats, with damping for peers that flap between
-//! answering and not answering.
+//! responding and not responding.
 
 use crate::heartbeat::InstanceState;
 
@@ -9,26 +9,26 @@
 /// Silence after which a peer counts as dead for routing.
 pub(crate) const DEAD_AFTER_MS: u64 = 10_000;
 
-/// Consecutive answers that end a suspicion if the peer is not flapping.
+/// Consecutive responses that end a suspicion if the peer is not flapping.
 const INITIAL_ANSWERS_NEEDED: u32 = 2;
 
-/// Upper limit of the number of consecutive answers required.
+/// Upper limit of the number of consecutive responses required.
 const MAX_ANSWERS_NEEDED: u32 = 16;
 
 /// A peer that returns from a silence within this time after its last recovery is
-/// flapping. It then needs twice as many answers as the last time.
+/// flapping. It then needs twice as many responses as the last time.
 const FLAP_WINDOW_MS: u64 = 60_000;
 
 /// How to treat a peer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Liveness {
-    /// Answers heartbeats and may get new work.
+    /// Responds to heartbeats and may get new work.
     Alive,
-    /// Has not answered for 10 s. It may still exist and own programs and shares.
+    /// Has not responded for 10 s. It may still exist and own programs and shares.
     Dead,
-    /// Answers heartbeats, but has announced a planned stop or is listed as leaving.
+    /// Responds to heartbeats, but has announced a planned stop or is listed as leaving.
     Leaving,
-    /// Has not answered for 2 s, or answers again but not often enough yet.
+    /// Has not responded for 2 s, or responds again but not often enough yet.
     Suspect,
 }
 
@@ -37,8 +37,8 @@
 pub(crate) struct PeerHealth {
     last_heard_ms: u64,
     state: InstanceState,
-    /// Answers still needed to end the suspicion. 0 if the peer is not suspect. A new
-    /// silence after the last answer is not reflected here until the next answer.
+    /// Responses still needed to end the suspicion. 0 if the peer is not suspect. A new
+    /// silence after the last response is not reflected here until the next response.
     answers_remaining: u32,
     answers_needed: u32,
     recovered_at_ms: Option<u64>,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Records a heartbeat or an answer to one.
+    /// Records a heartbeat or a response to one.
     pub(crate) fn record_heartbeat(&mut self, now_ms: u64, state: InstanceState) {
         if now_ms.saturating_sub(self.last_heard_ms) >= SUSPECT_AFTER_MS {
             self.begin_recovery(now_ms);
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Starts counting the consecutive answers that the peer needs after a silence.
+    /// Starts counting the consecutive responses that the peer needs after a silence.
     fn begin_recovery(&mut self, now_ms: u64) {
         let is_flapping = self
             .recovered_at_ms
@@ -83,7 +83,7 @@
         self.answers_remaining = self.answers_needed;
     }
 
-    /// Ends the suspicion and doubles the number of answers for the next one, in case the
+    /// Ends the suspicion and doubles the number of responses for the next one, in case the
     /// peer is flapping.
     fn complete_recovery(&mut self, now_ms: u64) {
         self.answers_needed = (self.answers_needed * 2).min(MAX_ANSWERS_NEEDED);
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -64,7 +64,7 @@
         self.remove_gone_peers(now_ms);
     }
 
-    /// Removes peers that are neither registered nor answering. A peer that answers
+    /// Removes peers that are neither registered nor responding. A peer that responds
     /// stays, because the store may have lost its registration in an outage, or it may
     /// have started during the outage.
     fn remove_gone_peers(&mut self, now_ms: u64) {
@@ -75,7 +75,7 @@
         });
     }
 
-    /// Records a heartbeat or an answer to one.
+    /// Records a heartbeat or a response to one.
     pub fn record_heartbeat(&mut self, now_ms: u64, heartbeat: &Heartbeat) {
         let incarnation = &heartbeat.incarnation;
         self.add_peer(now_ms, incarnation, &heartbeat.availability_zone);
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Names of all known peers, whether they answer or not.
+    /// Names of all known peers, whether they respond or not.
     pub fn known_peers(&self) -> Vec<String> {
         self.peers.keys().cloned().collect()
     }
--- a/crates/membership/tests/peers.rs
+++ b/crates/membership/tests/peers.rs
@@ -54,7 +54,7 @@
     assert_eq!(liveness(&membership, silent_ms), expected);
 }
 
-/// Guards against using a peer again after a single answer.
+/// Guards against using a peer again after a single response.
 #[test]
 fn recovery_needs_two_answers() {
     let mut membership = membership();
@@ -65,7 +65,7 @@
     assert_eq!(liveness(&membership, 4 * SECOND_MS), Liveness::Alive);
 }
 
-/// The number of answers that the peer needs to recover from a silence that begins at
+/// The number of responses that the peer needs to recover from a silence that begins at
 /// `from_ms`, and the time of the last one.
 fn answers_to_recover(membership: &mut Membership, from_ms: u64) -> (u64, u64) {
     let mut now_ms = from_ms + 3 * SECOND_MS;
@@ -94,7 +94,7 @@
     assert_eq!(needed, [2, 4, 8, 16, 16, 16]);
 }
 
-/// Guards against a peer that still needs many answers although it has been stable since.
+/// Guards against a peer that still needs many responses although it has been stable since.
 #[test]
 fn a_minute_without_a_silence_resets_the_answers_needed() {
     let mut membership = membership();
@@ -108,7 +108,7 @@
     assert_eq!(answers, 2);
 }
 
-/// Guards against answers that count as consecutive although there was a silence between
+/// Guards against responses that count as consecutive although there was a silence between
 /// them.
 #[test]
 fn a_silence_restarts_the_count_of_answers() {
@@ -171,7 +171,7 @@
 }
 
 /// Guards against a second process of the same name, or one that started during a store
-/// outage, that replaces a registered process that still answers.
+/// outage, that replaces a registered process that still responds.
 #[test]
 fn an_unregistered_process_does_not_replace_a_live_registered_one() {
     let mut membership = membership();
@@ -195,7 +195,7 @@
 
 /// Guards against a replacement that stays unknown during a store outage, because the
 /// registration of the dead process is still the last one read. Also guards against
-/// keeping the replacement when the registered process answers after all.
+/// keeping the replacement when the registered process responds after all.
 #[test]
 fn a_dead_process_is_replaced_while_the_registrations_cannot_be_read() {
     let registered = [(incarnation("peer", 1), "z1".to_string())];
@@ -253,7 +253,7 @@
     assert_eq!(membership.incarnation("peer"), None);
 }
 
-/// Guards against removing a peer that answers because the store lost its registration.
+/// Guards against removing a peer that responds because the store lost its registration.
 #[test]
 fn a_peer_that_answers_is_kept_without_registration() {
     let mut membership = membership();
