--- a/tests/models.rs
+++ b/tests/models.rs
@@ -1,6 +1,6 @@
 //! Changes of the models that an engine serves.
 //!
-//! An operator changes the endpoint record, and the instance that is the caretaker of the
+//! An operator changes the endpoint record, and the instance that is responsible for the
 //! engine sends it orders to load and unload models.
 
 use std::net::SocketAddr;
