--- a/crates/quota/src/customer_quota.rs
+++ b/crates/quota/src/customer_quota.rs
@@ -31,7 +31,7 @@
     pub ends_ms: u64,
 }
 
-/// A loan request that was sent and may still be answered.
+/// A loan request that was sent and may still get a response.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct PendingRequest {
     pub sequence: u64,
--- a/crates/quota/src/lending.rs
+++ b/crates/quota/src/lending.rs
@@ -69,7 +69,7 @@
         Some(request)
     }
 
-    /// Answers a peer's loan request. What is granted is not used here until the loan is
+    /// Responds to a peer's loan request. What is granted is not used here until the loan is
     /// returned, or its term plus margins has passed.
     pub fn lend(&mut self, now_ms: u64, request: &LoanRequest) -> LoanGrant {
         let mut grant = LoanGrant {
--- a/crates/quota/src/loan.rs
+++ b/crates/quota/src/loan.rs
@@ -12,7 +12,7 @@
     pub sequence: u64,
 }
 
-/// Asks another instance for a part of its share of a customer's contract.
+/// Requests a part of another instance's share of a customer's contract.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoanRequest {
@@ -22,13 +22,13 @@
     pub customer: String,
     /// The borrower's present weight, in parts per million of the contract.
     pub weight_ppm: u32,
-    /// The additional weight that it asks for, in parts per million.
+    /// The additional weight that it requests, in parts per million.
     pub wanted_ppm: u32,
     /// Tokens that the borrower lacks for its next call, in thousandths of a request.
     pub wanted_tokens_mreq: u64,
 }
 
-/// The answer to a [`LoanRequest`]. The lender has already reduced its own share by this
+/// The response to a [`LoanRequest`]. The lender has already reduced its own share by this
 /// much.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(deny_unknown_fields)]
--- a/crates/scheduler/src/call.rs
+++ b/crates/scheduler/src/call.rs
@@ -44,7 +44,7 @@
     pub slot: Option<Slot>,
     /// Set by `CallSent`: a byte of the request may have reached the endpoint.
     pub sent: bool,
-    /// Set by `FirstToken`: the caller may have received part of the answer.
+    /// Set by `FirstToken`: the caller may have received part of the response.
     pub response_started: bool,
     /// Set when the caller got an error response while the endpoint may still be working.
     /// The slot stays occupied until the endpoint has stopped.
--- a/crates/scheduler/src/effect.rs
+++ b/crates/scheduler/src/effect.rs
@@ -40,21 +40,21 @@
         /// IP address and port of the endpoint.
         address: String,
     },
-    /// Answer a call without sending it to an endpoint.
+    /// Respond to a call without sending it to an endpoint.
     Reply {
-        /// The call to answer.
+        /// The call to respond to.
         request_id: RequestId,
-        /// Content of the answer.
+        /// Content of the response.
         reply: Reply,
     },
-    /// Answer a call with an error.
+    /// Respond to a call with an error.
     Refuse {
-        /// The call to answer.
+        /// The call to respond to.
         request_id: RequestId,
         /// Reason, and whether an endpoint may have processed the call.
         refusal: Refusal,
     },
-    /// Tell an engine to release the cache of a program. `CacheReleased` reports the
+    /// Request that an engine release the cache of a program. `CacheReleased` reports the
     /// result. Repeated until the engine confirms.
     ReleaseCache {
         /// Name of the endpoint.
@@ -91,7 +91,7 @@
     pub response_headers: Vec<(String, String)>,
 }
 
-/// Answer to an operation on a program, which needs no endpoint.
+/// Response to an operation on a program, which needs no endpoint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Reply {
     /// The program was closed.
--- a/crates/scheduler/src/event.rs
+++ b/crates/scheduler/src/event.rs
@@ -21,7 +21,7 @@
     /// The first part of the endpoint's response arrived. The call cannot be retried any
     /// more.
     FirstToken {
-        /// The call that is being answered.
+        /// The call that is being responded to.
         request_id: RequestId,
     },
     /// The endpoint has completed the call.
@@ -42,12 +42,12 @@
         /// Human-readable explanation for the caller and the log.
         message: String,
     },
-    /// The caller closed its connection before the answer was complete.
+    /// The caller closed its connection before the response was complete.
     CallerGone {
         /// The call to cancel.
         request_id: RequestId,
     },
-    /// An engine answered an [`Effect::ReleaseCache`](crate::Effect::ReleaseCache).
+    /// An engine responded to an [`Effect::ReleaseCache`](crate::Effect::ReleaseCache).
     CacheReleased {
         /// Name of the endpoint.
         endpoint: String,
@@ -98,7 +98,7 @@
     ProbeFinished {
         /// Name of the endpoint.
         endpoint: String,
-        /// Whether the endpoint answered that it is ready for calls.
+        /// Whether the endpoint responded that it is ready for calls.
         healthy: bool,
     },
     /// The state of [`ProgramAdmission`](crate::program_admission::ProgramAdmission) or
@@ -182,7 +182,7 @@
     pub prompt_tokens: u64,
     /// Prompt tokens that were read from the engine's prefix cache.
     pub cached_tokens: u64,
-    /// Tokens of the answer.
+    /// Tokens of the response.
     pub generated_tokens: u64,
 }
 
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -13,7 +13,7 @@
 const PROBE_INTERVAL_MS: u64 = 500;
 /// Upper bound of the time between two probes.
 const MAX_PROBE_INTERVAL_MS: u64 = 16_000;
-/// A probe that has no answer after this time counts as failed.
+/// A probe that has no response after this time counts as failed.
 const PROBE_TIMEOUT_MS: u64 = 5_000;
 /// An endpoint that becomes suspect again within this time after its recovery is flapping:
 /// the number of successful probes that it needs doubles.
--- a/crates/scheduler/src/outcome.rs
+++ b/crates/scheduler/src/outcome.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Handles `FirstToken`: from now on the caller may have received part of the answer.
+    /// Handles `FirstToken`: from now on the caller may have received part of the response.
     pub(crate) fn mark_response_started(&mut self, request_id: RequestId) {
         if let Some(running) = self.running_mut(request_id) {
             running.sent = true;
@@ -114,7 +114,7 @@
     }
 
     /// Whether a failed call may be retried. The endpoint must have caused the failure, the
-    /// caller must not have received any part of the answer, and unless the call is
+    /// caller must not have received any part of the response, and unless the call is
     /// idempotent, no byte of it may have reached an endpoint. Takes from the retry budget.
     fn may_retry(
         &mut self,
--- a/crates/scheduler/tests/scheduler/health.rs
+++ b/crates/scheduler/tests/scheduler/health.rs
@@ -100,7 +100,7 @@
     );
 }
 
-/// A probe without an answer must be sent again, so that it does not keep the endpoint out of
+/// A probe without a response must be sent again, so that it does not keep the endpoint out of
 /// service forever.
 #[test]
 fn unanswered_probe_is_sent_again() {
--- a/crates/scheduler/tests/scheduler/lifecycle.rs
+++ b/crates/scheduler/tests/scheduler/lifecycle.rs
@@ -176,7 +176,7 @@
 }
 
 /// A retry must use another endpoint than the one that failed. A call must not be retried
-/// after its caller has received part of the answer.
+/// after its caller has received part of the response.
 #[test]
 fn retry_uses_another_endpoint_unless_response_started() {
     let mut harness = Harness::simple(&[4, 4]);
--- a/crates/scheduler/tests/scheduler/sharing.rs
+++ b/crates/scheduler/tests/scheduler/sharing.rs
@@ -123,7 +123,7 @@
 }
 
 /// Service, measured in weighted tokens, must be proportional to the customers' weights.
-/// Customers with long answers must not get more service for the same weight.
+/// Customers with long responses must not get more service for the same weight.
 #[test]
 fn service_follows_weights_in_tokens() {
     let mut configuration = configuration(&[], &[1]);
